--- a/Makefile
+++ b/Makefile
@@ -5,6 +5,7 @@
 BIN := $(CURDIR)/.bin
 GOLANGCI_VERSION := v2.15.0
 GOFUMPT_VERSION := v0.12.0
+GOPLS_VERSION := v0.23.0
 PROTOC_GEN_GO_VERSION := v1.36.12
 PROTOC_GEN_GO_GRPC_VERSION := v1.6.2
 OWN_GO = $(shell git ls-files --cached --others --exclude-standard '*.go' | grep -v -e '^gen/' -e '\.pb\.go$$')
@@ -82,6 +83,9 @@
 fmt: $(BIN)/gofumpt ## format the sources
 	@$(BIN)/gofumpt -w $(OWN_GO)
 
+.PHONY: tools
+tools: $(BIN)/golangci-lint $(BIN)/gofumpt $(BIN)/gopls ## install the linter, the formatter and gopls into .bin/
+
 .PHONY: generate
 generate: $(BIN)/protoc-gen-go $(BIN)/protoc-gen-go-grpc ## make gen/ and the peer protocol anew (needs protoc)
 	$(GO) run goa.design/goa/v3/cmd/goa gen azurechute.example/azurechute/design
@@ -94,6 +98,9 @@
 $(BIN)/gofumpt:
 	GOBIN=$(BIN) $(GO) install mvdan.cc/gofumpt@$(GOFUMPT_VERSION)
 
+$(BIN)/gopls:
+	GOBIN=$(BIN) $(GO) install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 $(BIN)/protoc-gen-go:
 	GOBIN=$(BIN) $(GO) install google.golang.org/protobuf/cmd/protoc-gen-go@$(PROTOC_GEN_GO_VERSION)
 
