--- a/cmd/azurechute/main.go
+++ b/cmd/azurechute/main.go
@@ -44,7 +44,7 @@
 	app.ReadLedger = chuteplatform.ReadLedger
 	app.ReadZones = chuteplatform.ReadZones
 	app.ReadQuarantine = chuteplatform.ReadQuarantine
-	app.Lift = chuteplatform.Lift
+	app.Lift = chuteplatform.LiftQuarantine
 
 	return app.Run(ctx, os.Args[1:])
 }
