--- a/internal/chutecore/arrive.go
+++ b/internal/chutecore/arrival.go
@@ -10,15 +10,15 @@
 )
 
 // unreadyRetryAfter is when a caller may try again at a node that can't take work; the balancer will have moved on by then.
-const unreadyRetryAfter = time.Second
+const defaultRetryAfter = time.Second
 
 // handleText writes a handle in its short form.
-func handleText(handle uint64) string {
+func formatHandle(handle uint64) string {
 	return strconv.FormatUint(handle, 36)
 }
 
 // handleOf reads what handleText wrote.
-func handleOf(key chuterequest.Key) uint64 {
+func parseHandle(key chuterequest.Key) uint64 {
 	handle, err := strconv.ParseUint(key.RequestID, 36, 64)
 	if err != nil {
 		return 0
@@ -28,21 +28,21 @@
 }
 
 // arrive admits a request or turns it away before anything of it runs.
-func (st *step) arrive(e RequestArrived) {
+func (st *transition) applyRequestArrived(e RequestArrived) {
 	r := st.newRequest(e)
-	refusal, refused := st.refusal(e)
+	refusal, refused := st.checkArrival(e)
 	if !refused {
-		refusal, refused = st.admit(r)
+		refusal, refused = st.checkAdmission(r)
 	}
 	switch {
 	case !refused:
-		st.do(SetDeadline{Handle: r.Handle, At: r.Deadline})
+		st.emit(SetDeadline{Handle: r.Handle, At: r.Deadline})
 		st.startStage(r)
-	case r.claimable():
-		st.refuseUnlessRun(r, refusal)
+	case r.hasUnrepeatableWork():
+		st.refuseUnlessAlreadyRun(r, refusal)
 	default:
-		st.do(Answer{Handle: e.Handle, Outcome: refusal})
-		st.do(Release{Handle: e.Handle})
+		st.emit(Answer{Handle: e.Handle, Outcome: refusal})
+		st.emit(ReleaseRequest{Handle: e.Handle})
 	}
 }
 
@@ -52,10 +52,10 @@
 // first node died, or a caller asks again with the same RequestID. Telling it
 // NotRun for want of room here would be false if the first sending ran. The
 // look-up is enough, since whatever ran has its row in the table first.
-func (st *step) refuseUnlessRun(r Request, refusal chuterequest.Outcome) {
+func (st *transition) refuseUnlessAlreadyRun(r Request, refusal chuterequest.Outcome) {
 	r.Refusal = &refusal
-	st.put(r.WithPhase(PhaseRefusing))
-	st.do(LookUpClaim{Handle: r.Handle, Key: r.Key, Timeout: claimTimeout(st.config)})
+	st.setRequest(r.WithPhase(PhaseRefusing))
+	st.emit(LookUpClaim{Handle: r.Handle, Key: r.Key, Timeout: claimTimeout(st.config)})
 }
 
 // claimTimeout bounds a call for a claim; a node without a configuration takes the default.
@@ -68,11 +68,11 @@
 }
 
 // refusal says why the node can't take the request at all.
-func (st *step) refusal(e RequestArrived) (chuterequest.Outcome, bool) {
+func (st *transition) checkArrival(e RequestArrived) (chuterequest.Outcome, bool) {
 	pipeline, known := st.config.Pipelines[e.Pipeline]
 	switch {
 	case st.version == 0:
-		return notRun("this VM has no configuration yet", unreadyRetryAfter), true
+		return notRunOutcome("this VM has no configuration yet", defaultRetryAfter), true
 	case !known || len(pipeline.Stages) == 0:
 		return chuterequest.Outcome{
 			Kind: chuterequest.OutcomeNotRun, Reason: "no such pipeline", Field: "Pipeline", Value: e.Pipeline,
@@ -82,14 +82,14 @@
 			Kind: chuterequest.OutcomeNotRun, Reason: "the deadline has passed", Field: "Deadline",
 		}, true
 	case st.requests.Len() >= st.config.Limits.MaxInFlight:
-		return overloaded("this VM is at its limit of requests in flight", unreadyRetryAfter), true
+		return overloadedOutcome("this VM is at its limit of requests in flight", defaultRetryAfter), true
 	}
 
 	return chuterequest.Outcome{}, false
 }
 
 // newRequest builds the request; it keeps the stages of the configuration at arrival to its end.
-func (st *step) newRequest(e RequestArrived) Request {
+func (st *transition) newRequest(e RequestArrived) Request {
 	pipeline := st.config.Pipelines[e.Pipeline]
 
 	return Request{
@@ -104,56 +104,56 @@
 // Without this check an overloaded node starts work that it abandons later: the
 // early stages are paid for and the caller hears of it only near the deadline.
 // The prediction errs on the side of admitting, and Hopeless catches the rest.
-func (st *step) admit(r Request) (refusal chuterequest.Outcome, refused bool) {
-	pool := r.stage().Pool
+func (st *transition) checkAdmission(r Request) (refusal chuterequest.Outcome, refused bool) {
+	pool := r.currentStage().Pool
 	if st.queue.Len(pool) >= st.config.Limits.MaxQueued {
-		return overloaded("the queue for pool "+pool+" is full", unreadyRetryAfter), true
+		return overloadedOutcome("the queue for pool "+pool+" is full", defaultRetryAfter), true
 	}
 	if !st.config.Policy.Admission {
 		return chuterequest.Outcome{}, false
 	}
-	waiter := st.waiter(r)
-	waiter.Needs += st.laterWaits(r)
-	prediction := st.queue.Predict(waiter, st.free(r), st.now)
-	if prediction.CanFinish || prediction.Wait == 0 && st.probe() {
+	waiter := st.waiterFor(r)
+	waiter.Needs += st.laterStageWaits(r)
+	prediction := st.queue.Predict(waiter, st.freeSlots(r), st.now)
+	if prediction.CanFinish || prediction.Wait == 0 && st.drawProbe() {
 		return chuterequest.Outcome{}, false
 	}
 
-	return overloaded("pool "+pool+" can't finish this within its deadline", prediction.RetryAfter), true
+	return overloadedOutcome("pool "+pool+" can't finish this within its deadline", prediction.RetryAfter), true
 }
 
 // waiter describes a request to the queue of its present stage's pool.
-func (st *step) waiter(r Request) chuteadmission.Waiter {
+func (st *transition) waiterFor(r Request) chuteadmission.Waiter {
 	workspace := st.config.Workspaces[r.Key.Workspace]
 
 	return chuteadmission.Waiter{
-		Key: queueKey(r), Stage: r.Stage, Pool: r.stage().Pool,
+		Key: queueKey(r), Stage: r.Stage, Pool: r.currentStage().Pool,
 		Team: workspace.Team, Workspace: r.Key.Workspace,
 		TeamWeight: max(1, st.config.Teams[workspace.Team].Weight), WorkspaceWeight: max(1, workspace.Weight),
-		Deadline: r.Deadline, Needs: st.needs(r), Since: st.now, Started: r.HandedOver > 0,
+		Deadline: r.Deadline, Needs: st.remainingServiceTime(r), Since: st.now, Started: r.HandedOver > 0,
 	}
 }
 
 // probeOneIn is how many requests, turned away for their learned times alone, one is let in for.
-const probeOneIn = 16
+const probeInterval = 16
 
 // probe lets a few requests in that nothing but the learned service times speaks against.
 //
 // A slow spell teaches times longer than the deadline. With every request turned
 // away for them no call would ever run to correct them, and the pipeline would
 // stay shut long after its upstreams have recovered.
-func (st *step) probe() bool {
-	random := newDraws(st.random)
-	chosen := random.intN(probeOneIn) == 0
+func (st *transition) drawProbe() bool {
+	random := newGenerator(st.random)
+	isProbe := random.intN(probeInterval) == 0
 	st.random = random.source
 
-	return chosen
+	return isProbe
 }
 
 // free counts the free slots that matter for a prediction: with nobody waiting, one is as good as many.
-func (st *step) free(r Request) int {
-	query := st.query(r)
-	if st.queue.Len(r.stage().Pool) == 0 && st.routing.HasFree(query) {
+func (st *transition) freeSlots(r Request) int {
+	query := st.routingQuery(r)
+	if st.queue.Len(r.currentStage().Pool) == 0 && st.routing.HasFree(query) {
 		return 1
 	}
 
@@ -165,14 +165,14 @@
 // Without them a request is let in to a free first stage and dies, paid for, in
 // the queue of a saturated later one: on opening morning the encoders are idle
 // while the rerankers are not.
-func (st *step) laterWaits(r Request) time.Duration {
+func (st *transition) laterStageWaits(r Request) time.Duration {
 	total := time.Duration(0)
 	for i := r.Stage + 1; i < len(r.Stages); i++ {
 		later := r
 		later.Stage = i
 		later.Blocks = nil
-		if st.queue.Len(later.stage().Pool) > 0 {
-			total += st.queue.Wait(st.waiter(later), st.free(later))
+		if st.queue.Len(later.currentStage().Pool) > 0 {
+			total += st.queue.Wait(st.waiterFor(later), st.freeSlots(later))
 		}
 	}
 
@@ -180,25 +180,25 @@
 }
 
 // needs sums the learned service times of the present and all later stages.
-func (st *step) needs(r Request) time.Duration {
+func (st *transition) remainingServiceTime(r Request) time.Duration {
 	total := time.Duration(0)
 	for _, stage := range r.Stages[r.Stage:] {
-		total += st.routing.ServiceTime(stage.Pool, learnedAs(r.Pipeline, stage.Name))
+		total += st.routing.ServiceTime(stage.Pool, statsKey(r.Pipeline, stage.Name))
 	}
 
 	return total
 }
 
 // notRun builds the outcome of a request of which nothing ran.
-func notRun(reason string, retryAfter time.Duration) chuterequest.Outcome {
+func notRunOutcome(reason string, retryAfter time.Duration) chuterequest.Outcome {
 	return chuterequest.Outcome{
 		Kind: chuterequest.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter, SafeToRepeat: true,
 	}
 }
 
 // overloaded builds the outcome of a request that was turned away for too much work.
-func overloaded(reason string, retryAfter time.Duration) chuterequest.Outcome {
-	outcome := notRun(reason, max(retryAfter, unreadyRetryAfter))
+func overloadedOutcome(reason string, retryAfter time.Duration) chuterequest.Outcome {
+	outcome := notRunOutcome(reason, max(retryAfter, defaultRetryAfter))
 	outcome.Overloaded = true
 
 	return outcome
--- a/internal/chutecore/reduce.go
+++ b/internal/chutecore/reduce.go
@@ -8,48 +8,48 @@
 
 // Reduce takes one event into account and returns the next state and what is to be done.
 func Reduce(s State, event Event) (State, []Effect) {
-	st := step{State: s, now: event.When()}
+	st := transition{State: s, now: event.When()}
 	st.apply(event)
 
 	return st.State, st.effects
 }
 
 // step collects one reduction: the state so far and the effects so far.
-type step struct {
+type transition struct {
 	State
 	now     time.Time
 	effects []Effect
 }
 
 // apply sends the event to the function that decides on it.
-func (st *step) apply(event Event) {
+func (st *transition) apply(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
-		st.arrive(e)
+		st.applyRequestArrived(e)
 	case CallerLeft:
-		st.callerLeft(e.Handle)
+		st.applyCallerLeft(e.Handle)
 	case DeadlinePassed:
-		st.deadlinePassed(e.Handle)
+		st.applyDeadlinePassed(e.Handle)
 	case HedgeDue:
-		st.hedgeDue(e)
+		st.applyHedgeDue(e)
 	case ClaimTaken:
-		st.claimTaken(e.Handle)
+		st.applyClaimTaken(e.Handle)
 	case ClaimHeld:
-		st.claimHeld(e)
+		st.applyClaimHeld(e)
 	case ClaimSettled:
-		st.claimSettled(e)
+		st.applyClaimSettled(e)
 	case ClaimAbsent:
-		st.claimAbsent(e.Handle)
+		st.applyClaimAbsent(e.Handle)
 	case ClaimFailed:
-		st.claimFailed(e)
+		st.applyClaimFailed(e)
 	case AttemptFinished:
-		st.attemptFinished(e)
+		st.applyAttemptFinished(e)
 	case AttemptFailed:
-		st.attemptFailed(e)
+		st.applyAttemptFailed(e)
 	case LateUsage:
-		st.charge(e.Attempt, e.Work, e.Usage, true)
+		st.chargeUsage(e.Attempt, e.Work, e.Usage, true)
 	case LedgerDue:
-		st.ledgerDue(e)
+		st.applyLedgerDue(e)
 	case RelayEvent:
 		st.applyRelay(e)
 	default:
@@ -58,16 +58,16 @@
 }
 
 // do adds an effect.
-func (st *step) do(effect Effect) {
+func (st *transition) emit(effect Effect) {
 	st.effects = append(st.effects, effect)
 }
 
 // put keeps the new value of a request.
-func (st *step) put(r Request) {
+func (st *transition) setRequest(r Request) {
 	st.requests = st.requests.Set(r.Handle, r)
 }
 
 // queueKey is how the queue names a request: by handle, since two callers may use one RequestID at a time.
 func queueKey(r Request) chuterequest.Key {
-	return chuterequest.Key{Workspace: r.Key.Workspace, RequestID: handleText(r.Handle)}
+	return chuterequest.Key{Workspace: r.Key.Workspace, RequestID: formatHandle(r.Handle)}
 }
--- a/internal/chutecore/reduce_test.go
+++ b/internal/chutecore/reduce_test.go
@@ -29,8 +29,8 @@
 	if change != nil {
 		change(&cfg)
 	}
-	d.adopt(tb, 1, cfg)
-	d.list(upstreams, false)
+	d.adoptConfig(tb, 1, cfg)
+	d.listUpstreams(upstreams, false)
 
 	return d
 }
@@ -62,18 +62,18 @@
 
 func (d *driver) reduce(e Event) { d.state, d.effects = Reduce(d.state, e) }
 
-func (d *driver) adopt(tb testing.TB, version uint64, cfg chuteconfig.Config) {
+func (d *driver) adoptConfig(tb testing.TB, version uint64, cfg chuteconfig.Config) {
 	tb.Helper()
 	id := chuterollout.ID{Version: version, Digest: fmt.Sprint("digest-", version)}
 	d.reduce(HeadRead{Stamp: d.stamp(), Read: chuterollout.HeadRead{ID: id, Object: "o", Started: d.now, At: d.now}})
-	fetch, ok := find[FetchConfig](d.effects)
+	fetch, ok := findEffect[FetchConfig](d.effects)
 	if !ok {
 		tb.Fatal("the head was read, but no fetch followed")
 	}
 	d.reduce(BodyFetched{Stamp: d.stamp(), Fetch: fetch.Fetch, Digest: id.Digest, Config: cfg})
 }
 
-func (d *driver) list(n int, leaving bool) {
+func (d *driver) listUpstreams(n int, leaving bool) {
 	var listed []chuterouting.Listed
 	for _, pool := range []string{"encoder", "forum", "model"} {
 		for i := range n {
@@ -86,21 +86,21 @@
 	d.reduce(UpstreamsListed{Stamp: d.stamp(), Upstreams: listed})
 }
 
-func (d *driver) arrive(handle uint64, pipeline string) {
+func (d *driver) sendRequest(handle uint64, pipeline string) {
 	d.reduce(RequestArrived{
 		Stamp: d.stamp(), Handle: handle, Key: chuterequest.Key{Workspace: "w", RequestID: fmt.Sprint(handle)},
 		Pipeline: pipeline, Deadline: d.now.Add(5 * time.Second),
 	})
 }
 
-func (d *driver) fail(dispatch Dispatch, f chuterequest.Failure, offset int) {
+func (d *driver) failAttempt(dispatch Dispatch, f chuterequest.Failure, offset int) {
 	d.reduce(AttemptFailed{
 		Stamp: d.stamp(), Handle: dispatch.Handle, Attempt: dispatch.Attempt, Upstream: dispatch.Upstream,
 		Work: dispatch.Work, Failure: f, Offset: offset,
 	})
 }
 
-func (d *driver) finish(dispatch Dispatch) {
+func (d *driver) finishAttempt(dispatch Dispatch) {
 	d.reduce(AttemptFinished{
 		Stamp: d.stamp(), Handle: dispatch.Handle, Attempt: dispatch.Attempt, Upstream: dispatch.Upstream,
 		Work: dispatch.Work, Took: 10 * time.Millisecond, Usage: chuterequest.Usage{Units: 3},
@@ -109,7 +109,7 @@
 }
 
 // find returns the first effect of a type.
-func find[E Effect](effects []Effect) (E, bool) {
+func findEffect[E Effect](effects []Effect) (E, bool) {
 	for _, effect := range effects {
 		if e, ok := effect.(E); ok {
 			return e, true
@@ -122,7 +122,7 @@
 
 func expectEffect[E Effect](t *testing.T, d *driver) E {
 	t.Helper()
-	e, ok := find[E](d.effects)
+	e, ok := findEffect[E](d.effects)
 	qt.Assert(t, ok, qt.IsTrue, qt.Commentf("effects: %+v", d.effects))
 
 	return e
@@ -130,7 +130,7 @@
 
 func expectNone[E Effect](t *testing.T, d *driver) {
 	t.Helper()
-	_, ok := find[E](d.effects)
+	_, ok := findEffect[E](d.effects)
 	qt.Assert(t, ok, qt.IsFalse, qt.Commentf("effects: %+v", d.effects))
 }
 
@@ -144,14 +144,14 @@
 
 func TestStagesRunInOrder(t *testing.T) {
 	d := newDriver(t, 2, nil)
-	d.arrive(1, "digest")
+	d.sendRequest(1, "digest")
 	first := expectEffect[Dispatch](t, d)
 	qt.Assert(t, first.Stage.Name, qt.Equals, "encode")
-	d.finish(first)
+	d.finishAttempt(first)
 	second := expectEffect[Dispatch](t, d)
 	qt.Assert(t, second.Stage.Name, qt.Equals, "generate")
-	qt.Assert(t, second.Context, qt.Equals, first.Attempt)
-	d.finish(second)
+	qt.Assert(t, second.ContextAttempt, qt.Equals, first.Attempt)
+	d.finishAttempt(second)
 	qt.Assert(t, expectEffect[Answer](t, d).Result, qt.Equals, second.Attempt)
 	qt.Assert(t, d.state.InFlight(), qt.Equals, 0)
 }
@@ -161,10 +161,10 @@
 // since giving up would waste the tokens that were paid for.
 func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 0 })
-	d.arrive(1, "digest")
-	d.finish(expectEffect[Dispatch](t, d))
+	d.sendRequest(1, "digest")
+	d.finishAttempt(expectEffect[Dispatch](t, d))
 	broken := expectEffect[Dispatch](t, d)
-	d.fail(broken, chuterequest.Failure{Kind: chuterequest.FailureBroken}, 4)
+	d.failAttempt(broken, chuterequest.Failure{Kind: chuterequest.FailureBroken}, 4)
 	resumed := expectEffect[Dispatch](t, d)
 	qt.Assert(t, resumed.Resume, qt.IsTrue)
 	qt.Assert(t, resumed.Upstream, qt.Not(qt.Equals), broken.Upstream)
@@ -174,11 +174,11 @@
 // once: it may have been posted, and a second hand-over could post it twice.
 func TestBrokenUnrepeatableIsUnknown(t *testing.T) {
 	d := newDriver(t, 2, nil)
-	d.arrive(1, "post")
+	d.sendRequest(1, "post")
 	expectNone[Dispatch](t, d)
 	expectEffect[TakeClaim](t, d)
 	d.reduce(ClaimTaken{Stamp: d.stamp(), Handle: 1})
-	d.fail(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureBroken}, 0)
+	d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureBroken}, 0)
 	expectOutcome(t, d, chuterequest.OutcomeUnknown)
 	expectNone[Dispatch](t, d)
 	expectEffect[FinishClaim](t, d)
@@ -188,9 +188,9 @@
 // to another one under the same claim.
 func TestRefusedUnrepeatableGoesElsewhere(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 1 })
-	d.arrive(1, "post")
+	d.sendRequest(1, "post")
 	d.reduce(ClaimTaken{Stamp: d.stamp(), Handle: 1})
-	d.fail(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureUnreachable, NotTaken: true}, 0)
+	d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureUnreachable, NotTaken: true}, 0)
 	expectEffect[Dispatch](t, d)
 }
 
@@ -199,7 +199,7 @@
 // is given up and never used: the caller may have published again meanwhile.
 func TestLateClaimIsGivenUp(t *testing.T) {
 	d := newDriver(t, 2, nil)
-	d.arrive(1, "post")
+	d.sendRequest(1, "post")
 	d.reduce(DeadlinePassed{Stamp: d.stamp(), Handle: 1})
 	expectOutcome(t, d, chuterequest.OutcomeUnknown)
 	d.reduce(ClaimTaken{Stamp: d.stamp(), Handle: 1})
@@ -210,31 +210,31 @@
 // A post was answered at another node, and the balancer sends it again to one
 // that has no room for it. NotRun would be false; the stored answer is told.
 // Only when the table shows that the key never ran is the refusal told.
-func TestRefusalLooksTheKeyUp(t *testing.T) {
-	full := func(t *testing.T) *driver {
+func TestRefusalLooksUpClaim(t *testing.T) {
+	newFullNode := func(t *testing.T) *driver {
 		t.Helper()
 		d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Limits.MaxInFlight = 0 })
 		d.state.config.Limits.MaxInFlight = 0
-		d.arrive(1, "post")
+		d.sendRequest(1, "post")
 		expectEffect[LookUpClaim](t, d)
 		expectNone[Answer](t, d)
 
 		return d
 	}
 	t.Run("it ran", func(t *testing.T) {
-		d := full(t)
+		d := newFullNode(t)
 		d.reduce(ClaimSettled{Stamp: d.stamp(), Handle: 1, Outcome: chuterequest.Outcome{Kind: chuterequest.OutcomeAnswered}})
 		qt.Assert(t, expectEffect[Answer](t, d).Stored, qt.IsTrue)
 	})
 	t.Run("it is running", func(t *testing.T) {
-		d := full(t)
+		d := newFullNode(t)
 		d.reduce(ClaimHeld{Stamp: d.stamp(), Handle: 1})
 		expectNone[Answer](t, d)
 		d.reduce(DeadlinePassed{Stamp: d.stamp(), Handle: 1})
 		expectOutcome(t, d, chuterequest.OutcomeUnknown)
 	})
 	t.Run("it never ran", func(t *testing.T) {
-		d := full(t)
+		d := newFullNode(t)
 		d.reduce(ClaimAbsent{Stamp: d.stamp(), Handle: 1})
 		qt.Assert(t, expectOutcome(t, d, chuterequest.OutcomeNotRun).Overloaded, qt.IsTrue)
 		expectNone[GiveUpClaim](t, d)
@@ -244,35 +244,35 @@
 // The table is down. A post that no other node knows of is told NotRun; one
 // that a dead node may have run right before is told Unknown, since "not
 // published" would lead to a second publication.
-func TestTableDownTellsWhatIsKnown(t *testing.T) {
+func TestClaimFailureOutcome(t *testing.T) {
 	for excluded, kind := range map[bool]chuterequest.OutcomeKind{
 		true: chuterequest.OutcomeNotRun, false: chuterequest.OutcomeUnknown,
 	} {
 		d := newDriver(t, 2, nil)
-		d.arrive(1, "post")
-		d.reduce(ClaimFailed{Stamp: d.stamp(), Handle: 1, Excluded: excluded})
+		d.sendRequest(1, "post")
+		d.reduce(ClaimFailed{Stamp: d.stamp(), Handle: 1, NoOtherAttempt: excluded})
 		qt.Assert(t, expectOutcome(t, d, kind).RetryAfter > 0, qt.IsTrue)
 		expectNone[Dispatch](t, d)
 	}
 }
 
-func TestOutcomeTellsWhatIsTrue(t *testing.T) {
+func TestOutcomeWithoutResult(t *testing.T) {
 	t.Run("nothing handed over", func(t *testing.T) {
 		d := newDriver(t, 0, nil)
-		d.arrive(1, "digest")
+		d.sendRequest(1, "digest")
 		outcome := expectOutcome(t, d, chuterequest.OutcomeNotRun)
 		qt.Assert(t, outcome.RetryAfter > 0, qt.IsTrue)
 	})
 	t.Run("part of it ran", func(t *testing.T) {
 		d := newDriver(t, 1, nil)
-		d.arrive(1, "digest")
-		d.fail(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureErrored}, 0)
+		d.sendRequest(1, "digest")
+		d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureErrored}, 0)
 		outcome := expectOutcome(t, d, chuterequest.OutcomeFailed)
 		qt.Assert(t, outcome.SafeToRepeat, qt.IsTrue)
 	})
 	t.Run("an unrepeatable call is running", func(t *testing.T) {
 		d := newDriver(t, 1, nil)
-		d.arrive(1, "post")
+		d.sendRequest(1, "post")
 		d.reduce(ClaimTaken{Stamp: d.stamp(), Handle: 1})
 		d.reduce(DeadlinePassed{Stamp: d.stamp(), Handle: 1})
 		expectOutcome(t, d, chuterequest.OutcomeUnknown)
@@ -280,13 +280,13 @@
 	})
 	t.Run("refused by all", func(t *testing.T) {
 		d := newDriver(t, 1, nil)
-		d.arrive(1, "digest")
-		d.fail(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureRefused, NotTaken: true}, 0)
+		d.sendRequest(1, "digest")
+		d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureRefused, NotTaken: true}, 0)
 		expectOutcome(t, d, chuterequest.OutcomeNotRun)
 	})
 	t.Run("another attempt holds the claim", func(t *testing.T) {
 		d := newDriver(t, 1, nil)
-		d.arrive(1, "post")
+		d.sendRequest(1, "post")
 		d.reduce(ClaimHeld{Stamp: d.stamp(), Handle: 1})
 		d.reduce(DeadlinePassed{Stamp: d.stamp(), Handle: 1})
 		expectOutcome(t, d, chuterequest.OutcomeUnknown)
@@ -295,25 +295,25 @@
 
 // The connections to both encoders went silent. Each call stalls once; the third
 // goes over a new connection to an encoder that failed before, and is answered.
-func TestStalledEverywhereTriesAgain(t *testing.T) {
+func TestStalledUpstreamsAreRetried(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 1 })
-	d.arrive(1, "digest")
+	d.sendRequest(1, "digest")
 	for range 2 {
-		d.fail(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureStalled}, 0)
+		d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureStalled}, 0)
 	}
 	third := expectEffect[Dispatch](t, d)
 	qt.Assert(t, third.Stage.Name, qt.Equals, "encode")
-	d.fail(third, chuterequest.Failure{Kind: chuterequest.FailureStalled}, 0)
+	d.failAttempt(third, chuterequest.Failure{Kind: chuterequest.FailureStalled}, 0)
 	expectOutcome(t, d, chuterequest.OutcomeFailed)
 }
 
-func TestLeavingUpstreamIsLeftAlone(t *testing.T) {
+func TestLeavingUpstreamGetsNoWork(t *testing.T) {
 	d := newDriver(t, 1, nil)
 	d.reduce(LoadReported{
 		Stamp: d.stamp(), Upstream: "encoder-0", Load: chuterequest.Load{Incarnation: "1", Slots: 4, Leaving: true},
 	})
-	d.list(1, false)
-	d.arrive(1, "digest")
+	d.listUpstreams(1, false)
+	d.sendRequest(1, "digest")
 	expectOutcome(t, d, chuterequest.OutcomeNotRun)
 }
 
@@ -326,14 +326,14 @@
 			events := 0
 			for i := range b.N {
 				d.now = d.now.Add(time.Millisecond)
-				d.arrive(uint64(i+1), "digest")
+				d.sendRequest(uint64(i+1), "digest")
 				events++
 				for {
-					dispatch, ok := find[Dispatch](d.effects)
+					dispatch, ok := findEffect[Dispatch](d.effects)
 					if !ok {
 						break
 					}
-					d.finish(dispatch)
+					d.finishAttempt(dispatch)
 					events++
 				}
 			}
@@ -353,29 +353,29 @@
 		cfg.Pipelines["short"] = chuteconfig.Pipeline{Team: "team", Stages: stages}
 	})
 	for i := range 20 {
-		d.arrive(uint64(i+1), "long")
+		d.sendRequest(uint64(i+1), "long")
 		dispatch := expectEffect[Dispatch](t, d)
 		d.reduce(AttemptFinished{
 			Stamp: d.stamp(), Handle: dispatch.Handle, Attempt: dispatch.Attempt, Upstream: dispatch.Upstream, Work: dispatch.Work,
 			Took: 4 * time.Second, Usage: chuterequest.Usage{Units: 400}, Load: chuterequest.Load{Incarnation: "1", Slots: 400},
 		})
 	}
-	inAHurry := func(handle uint64, pipeline string) bool {
+	isDispatched := func(handle uint64, pipeline string) bool {
 		d.reduce(RequestArrived{
 			Stamp: d.stamp(), Handle: handle, Key: chuterequest.Key{Workspace: "w", RequestID: fmt.Sprint(handle)},
 			Pipeline: pipeline, Deadline: d.now.Add(time.Second),
 		})
-		_, dispatched := find[Dispatch](d.effects)
+		_, dispatched := findEffect[Dispatch](d.effects)
 
 		return dispatched
 	}
-	qt.Assert(t, inAHurry(100, "short"), qt.IsTrue)
-	letIn := 0
+	qt.Assert(t, isDispatched(100, "short"), qt.IsTrue)
+	admitted := 0
 	for i := range 160 {
-		if inAHurry(uint64(1000+i), "long") {
-			letIn++
+		if isDispatched(uint64(1000+i), "long") {
+			admitted++
 		}
 	}
-	qt.Assert(t, letIn > 0, qt.IsTrue)
-	qt.Assert(t, letIn < 40, qt.IsTrue)
+	qt.Assert(t, admitted > 0, qt.IsTrue)
+	qt.Assert(t, admitted < 40, qt.IsTrue)
 }
--- a/internal/chutecore/relay.go
+++ b/internal/chutecore/relay.go
@@ -35,7 +35,7 @@
 func (WriteLedgerRows) effect() {}
 
 // ledgerDue hands out the rows to write in one go.
-func (st *step) ledgerDue(e LedgerDue) {
+func (st *transition) applyLedgerDue(e LedgerDue) {
 	due := st.ledger.Due
 	if e.AtExit {
 		due = st.ledger.DueAtExit
@@ -46,7 +46,7 @@
 		return
 	}
 	st.ledger = ledger
-	st.do(WriteLedgerRows{Rows: rows})
+	st.emit(WriteLedgerRows{Rows: rows})
 }
 
 // WithRelay returns the state with relayed requests served from the given state on.
@@ -62,13 +62,13 @@
 }
 
 // applyRelay lets the relaying part decide, and charges what its effects say was used.
-func (st *step) applyRelay(e RelayEvent) {
+func (st *transition) applyRelay(e RelayEvent) {
 	var effects []chuterelay.Effect
 	st.relay, effects = chuterelay.Reduce(st.relay, st.now, e.Event)
 	for _, effect := range effects {
 		charge, ok := effect.(chuterelay.Charge)
 		if !ok {
-			st.do(RelayEffect{Effect: effect})
+			st.emit(RelayEffect{Effect: effect})
 
 			continue
 		}
@@ -77,7 +77,7 @@
 }
 
 // chargeRelayed counts work of relayed requests; their workspaces are charged as teams of their own.
-func (st *step) chargeRelayed(c chuterelay.Charge) {
+func (st *transition) chargeRelayed(c chuterelay.Charge) {
 	attempt := chuterequest.AttemptID(st.identity.Incarnation + "-r" + strconv.FormatUint(c.Attempt, 36))
 	st.ledger = st.ledger.WithCharge(chuteledger.Charge{
 		Attempt: attempt, Team: c.Workspace, Workspace: c.Workspace, Pipeline: c.Pipeline, Stage: c.Stage,
--- a/internal/chutecore/request.go
+++ b/internal/chutecore/request.go
@@ -74,27 +74,27 @@
 }
 
 // stage returns the present stage.
-func (r Request) stage() chuteconfig.Stage {
+func (r Request) currentStage() chuteconfig.Stage {
 	return r.Stages[r.Stage]
 }
 
 // atMostOnce says whether the present stage must not run twice.
-func (r Request) atMostOnce() bool {
-	return r.Unrepeatable || r.stage().Unrepeatable
+func (r Request) runsAtMostOnce() bool {
+	return r.Unrepeatable || r.currentStage().Unrepeatable
 }
 
 // claimable says whether any part of the request must not run twice.
-func (r Request) claimable() bool {
+func (r Request) hasUnrepeatableWork() bool {
 	return r.Unrepeatable || slices.ContainsFunc(r.Stages, func(s chuteconfig.Stage) bool { return s.Unrepeatable })
 }
 
 // needsClaim says whether the present stage may not be handed over without the durable claim.
 func (r Request) needsClaim() bool {
-	return r.atMostOnce() && !r.ClaimHeld
+	return r.runsAtMostOnce() && !r.ClaimHeld
 }
 
 // attempt finds a running attempt of the present stage.
-func (r Request) attempt(id chuterequest.AttemptID) (Attempt, bool) {
+func (r Request) runningAttempt(id chuterequest.AttemptID) (Attempt, bool) {
 	i := slices.IndexFunc(r.Running, func(a Attempt) bool { return a.ID == id })
 	if i < 0 {
 		return Attempt{}, false
@@ -123,7 +123,7 @@
 	r.Phase = PhaseRunning
 	r.Tries++
 	r.HandedOver++
-	if r.atMostOnce() {
+	if r.runsAtMostOnce() {
 		r.UnrepeatableHandedOver++
 	}
 
@@ -138,7 +138,7 @@
 		return r
 	}
 	r.HandedOver--
-	if r.atMostOnce() {
+	if r.runsAtMostOnce() {
 		r.UnrepeatableHandedOver--
 	}
 
--- a/internal/chutecore/state.go
+++ b/internal/chutecore/state.go
@@ -32,8 +32,8 @@
 
 // Times of a lease before the first configuration says others.
 const (
-	firstLeaseDuration = 10 * time.Second
-	firstOrderTimeout  = 30 * time.Second
+	initialLeaseDuration = 10 * time.Second
+	initialOrderTimeout  = 30 * time.Second
 )
 
 // ledgerShards spreads the counters over rows small enough for peers to keep; only changed rows are written.
@@ -57,7 +57,7 @@
 	lease   chutelease.Machine
 	steward chutesteward.State
 	members chutemember.Set
-	pace    pace
+	lastRun lastRunTimes
 	// relay is what decides on relayed requests; unused where none are served.
 	relay chuterelay.State
 
@@ -71,7 +71,7 @@
 }
 
 // pace remembers when the slower periodic work was last done.
-type pace struct {
+type lastRunTimes struct {
 	gossip  time.Time
 	steward time.Time
 }
@@ -87,7 +87,7 @@
 		rollout:  chuterollout.New(chuterollout.Settings{Seed: seed}),
 		lease: chutelease.New(chutelease.Settings{
 			Zone: identity.Zone, Node: identity.Node, Incarnation: identity.Incarnation,
-			Duration: firstLeaseDuration, OrderTimeout: firstOrderTimeout, Seed: seed,
+			Duration: initialLeaseDuration, OrderTimeout: initialOrderTimeout, Seed: seed,
 		}),
 		steward: chutesteward.New(),
 		members: chutemember.New(chutemember.Member{
@@ -139,7 +139,7 @@
 }
 
 // pool returns the configuration of the pool that a stage runs in.
-func (s State) pool(stage chuteconfig.Stage) chuteconfig.Pool {
+func (s State) poolOf(stage chuteconfig.Stage) chuteconfig.Pool {
 	return s.config.Pools[stage.Pool]
 }
 
--- a/internal/chutenode/node.go
+++ b/internal/chutenode/node.go
@@ -228,7 +228,7 @@
 
 // relayOf returns the relay of an engine stage: only the last stage's text goes to the caller.
 func (e *entry) relayOf(d chutecore.Dispatch) *relay {
-	if d.Next == "" {
+	if d.NextKind == "" {
 		return e.relay
 	}
 	if e.inner[d.StageIndex] == nil {
--- a/internal/chuteproof/ours_test.go
+++ b/internal/chuteproof/ours_test.go
@@ -113,7 +113,7 @@
 		n.calls[e.Attempt] = e
 		n.w.hand(call{
 			id: string(e.Attempt), node: n.node, handle: e.Handle, key: e.Key, stage: e.StageIndex,
-			upstream: e.Upstream, context: n.outputs[e.Context], unrepeatable: e.Unrepeatable,
+			upstream: e.Upstream, context: n.outputs[e.ContextAttempt], unrepeatable: e.Unrepeatable,
 		})
 	case chutecore.Answer:
 		n.answer(e)
@@ -155,7 +155,7 @@
 	switch {
 	case n.w.claimFault():
 		n.w.faults++
-		n.event(chutecore.ClaimFailed{Stamp: n.stamp(), Handle: e.Handle, Reason: "outage", Excluded: !held})
+		n.event(chutecore.ClaimFailed{Stamp: n.stamp(), Handle: e.Handle, Reason: "outage", NoOtherAttempt: !held})
 	case held && row.done:
 		n.event(chutecore.ClaimSettled{Stamp: n.stamp(), Handle: e.Handle, Outcome: row.answer.outcome})
 	case held:
