--- a/internal/chutecore/arrival.go
+++ b/internal/chutecore/arrival.go
@@ -9,15 +9,16 @@
 	"azurechute.example/azurechute/pkg/chuteconfig"
 )
 
-// unreadyRetryAfter is when a caller may try again at a node that can't take work; the balancer will have moved on by then.
+// defaultRetryAfter is the delay before a caller may try again; by then the balancer
+// sends no more requests to a node that is not ready.
 const defaultRetryAfter = time.Second
 
-// handleText writes a handle in its short form.
+// formatHandle returns the handle in base 36.
 func formatHandle(handle uint64) string {
 	return strconv.FormatUint(handle, 36)
 }
 
-// handleOf reads what handleText wrote.
+// parseHandle parses a handle formatted by formatHandle; it returns 0 for any other text.
 func parseHandle(key chuterequest.Key) uint64 {
 	handle, err := strconv.ParseUint(key.RequestID, 36, 64)
 	if err != nil {
@@ -27,7 +28,7 @@
 	return handle
 }
 
-// arrive admits a request or turns it away before anything of it runs.
+// applyRequestArrived admits a request or refuses it before any stage of it runs.
 func (st *transition) applyRequestArrived(e RequestArrived) {
 	r := st.newRequest(e)
 	refusal, refused := st.checkArrival(e)
@@ -46,19 +47,19 @@
 	}
 }
 
-// refuseUnlessRun looks the key up before the request is turned away.
+// refuseUnlessAlreadyRun looks up the claim of the request's key before it refuses the request.
 //
 // The request may be a resend: a balancer sends an enrolment again after its
-// first node died, or a caller asks again with the same RequestID. Telling it
-// NotRun for want of room here would be false if the first sending ran. The
-// look-up is enough, since whatever ran has its row in the table first.
+// first node died, or a caller asks again with the same RequestID. Answering
+// NotRun because this node is full would be false if the first attempt ran. The
+// look-up is enough, since an attempt writes its claim row before it runs.
 func (st *transition) refuseUnlessAlreadyRun(r Request, refusal chuterequest.Outcome) {
 	r.Refusal = &refusal
 	st.setRequest(r.WithPhase(PhaseRefusing))
 	st.emit(LookUpClaim{Handle: r.Handle, Key: r.Key, Timeout: claimTimeout(st.config)})
 }
 
-// claimTimeout bounds a call for a claim; a node without a configuration takes the default.
+// claimTimeout returns the timeout of a claim operation; a node without a configuration uses the default policy's.
 func claimTimeout(cfg chuteconfig.Config) time.Duration {
 	if timeout := cfg.Policy.ClaimTimeout.Std(); timeout > 0 {
 		return timeout
@@ -67,7 +68,9 @@
 	return chuteconfig.DefaultPolicy().ClaimTimeout.Std()
 }
 
-// refusal says why the node can't take the request at all.
+// checkArrival refuses a request that this node can't accept regardless of its queues:
+// without a configuration, for an unknown pipeline, after the deadline, or above
+// MaxInFlight.
 func (st *transition) checkArrival(e RequestArrived) (chuterequest.Outcome, bool) {
 	pipeline, known := st.config.Pipelines[e.Pipeline]
 	switch {
@@ -88,7 +91,8 @@
 	return chuterequest.Outcome{}, false
 }
 
-// newRequest builds the request; it keeps the stages of the configuration at arrival to its end.
+// newRequest builds a request from its arrival. The request keeps the stages of the
+// configuration that was in force at arrival until it ends.
 func (st *transition) newRequest(e RequestArrived) Request {
 	pipeline := st.config.Pipelines[e.Pipeline]
 
@@ -99,11 +103,13 @@
 	}
 }
 
-// admit asks whether the request can finish in time.
+// checkAdmission refuses a request if the queue of its pool is full or if it is
+// predicted to miss its deadline.
 //
 // Without this check an overloaded node starts work that it abandons later: the
-// early stages are paid for and the caller hears of it only near the deadline.
-// The prediction errs on the side of admitting, and Hopeless catches the rest.
+// early stages are paid for and the caller is told only near the deadline. The
+// prediction errs towards admitting; Queue.RemoveUnfinishable removes the
+// requests that were admitted wrongly.
 func (st *transition) checkAdmission(r Request) (refusal chuterequest.Outcome, refused bool) {
 	pool := r.currentStage().Pool
 	if st.queue.Len(pool) >= st.config.Limits.MaxQueued {
@@ -122,7 +128,7 @@
 	return overloadedOutcome("pool "+pool+" can't finish this within its deadline", prediction.RetryAfter), true
 }
 
-// waiter describes a request to the queue of its present stage's pool.
+// waiterFor returns the queue entry of a request for the pool of its current stage.
 func (st *transition) waiterFor(r Request) chuteadmission.Waiter {
 	workspace := st.config.Workspaces[r.Key.Workspace]
 
@@ -134,14 +140,16 @@
 	}
 }
 
-// probeOneIn is how many requests, turned away for their learned times alone, one is let in for.
+// probeInterval sets the share of probes: of the requests that only their learned
+// service times speak against, one in probeInterval is admitted.
 const probeInterval = 16
 
-// probe lets a few requests in that nothing but the learned service times speaks against.
+// drawProbe reports, at random, whether to admit a request that would be refused
+// only for its learned service times.
 //
-// A slow spell teaches times longer than the deadline. With every request turned
-// away for them no call would ever run to correct them, and the pipeline would
-// stay shut long after its upstreams have recovered.
+// After a slow period the learned times can exceed the deadline. If every request
+// were refused for that, no call would run to correct the times, and the pipeline
+// would keep refusing long after its upstreams have recovered.
 func (st *transition) drawProbe() bool {
 	random := newGenerator(st.random)
 	isProbe := random.intN(probeInterval) == 0
@@ -150,7 +158,8 @@
 	return isProbe
 }
 
-// free counts the free slots that matter for a prediction: with nobody waiting, one is as good as many.
+// freeSlots counts the free slots for a prediction. With an empty queue it returns 1
+// for any number above 0, since one free slot is enough for the request.
 func (st *transition) freeSlots(r Request) int {
 	query := st.routingQuery(r)
 	if st.queue.Len(r.currentStage().Pool) == 0 && st.routing.HasFree(query) {
@@ -160,11 +169,11 @@
 	return st.routing.Free(query)
 }
 
-// laterWaits sums the waits expected in the queues of the later stages.
+// laterStageWaits sums the waits expected in the queues of the later stages.
 //
-// Without them a request is let in to a free first stage and dies, paid for, in
-// the queue of a saturated later one: on opening morning the encoders are idle
-// while the rerankers are not.
+// Without them a request is admitted to a free first stage, is charged for it,
+// and then misses its deadline in the queue of a saturated later stage: on opening
+// morning the encoders are idle while the rerankers are not.
 func (st *transition) laterStageWaits(r Request) time.Duration {
 	total := time.Duration(0)
 	for i := r.Stage + 1; i < len(r.Stages); i++ {
@@ -179,7 +188,7 @@
 	return total
 }
 
-// needs sums the learned service times of the present and all later stages.
+// remainingServiceTime sums the learned service times of the current and all later stages.
 func (st *transition) remainingServiceTime(r Request) time.Duration {
 	total := time.Duration(0)
 	for _, stage := range r.Stages[r.Stage:] {
@@ -189,14 +198,15 @@
 	return total
 }
 
-// notRun builds the outcome of a request of which nothing ran.
+// notRunOutcome returns the outcome of a request of which nothing ran.
 func notRunOutcome(reason string, retryAfter time.Duration) chuterequest.Outcome {
 	return chuterequest.Outcome{
 		Kind: chuterequest.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter, SafeToRepeat: true,
 	}
 }
 
-// overloaded builds the outcome of a request that was turned away for too much work.
+// overloadedOutcome returns the outcome of a request that is refused because of overload;
+// RetryAfter is at least defaultRetryAfter.
 func overloadedOutcome(reason string, retryAfter time.Duration) chuterequest.Outcome {
 	outcome := notRunOutcome(reason, max(retryAfter, defaultRetryAfter))
 	outcome.Overloaded = true
--- a/internal/chutecore/attempt.go
+++ b/internal/chutecore/attempt.go
@@ -8,7 +8,7 @@
 	"azurechute.example/azurechute/pkg/chuteconfig"
 )
 
-// attemptFinished takes a stage's result once and goes on to the next stage.
+// applyAttemptFinished accepts one result for each stage and starts the next stage.
 func (st *transition) applyAttemptFinished(e AttemptFinished) {
 	st.routing = st.routing.
 		WithFinished(e.Upstream, statsKey(e.Work.Pipeline, e.Work.Stage), e.Took, e.Usage.Units, st.now).
@@ -22,9 +22,9 @@
 		return
 	}
 	attempt, current := r.runningAttempt(e.Attempt)
-	// An attempt that is not among the running ones of the present stage lost a
-	// race or was given up. Taking its result would hand a stage's output on
-	// twice; dropping it is enough, since the one taken is complete.
+	// An attempt that is not running for the current stage lost to another attempt
+	// or was cancelled. Accepting its result would pass a stage's output on twice;
+	// it can be discarded, since the accepted result is complete.
 	st.chargeUsage(e.Attempt, e.Work, e.Usage, !current)
 	if current {
 		st.acceptResult(r, attempt, e)
@@ -32,7 +32,8 @@
 	st.dispatchQueued(e.Work.Pool)
 }
 
-// takeResult makes the attempt's result the stage's result.
+// acceptResult makes the attempt's result the stage's result, cancels the other
+// attempts of the stage, and ends the request or starts its next stage.
 func (st *transition) acceptResult(r Request, taken Attempt, e AttemptFinished) {
 	st.settleQueueCharge(r, taken, taken.age(st.now))
 	st.retries = st.retries.WithSuccess()
@@ -52,30 +53,33 @@
 	st.startStage(r.WithStageTaken(taken.ID, e.NextBlocks))
 }
 
-// rememberCached tells routing which prompt blocks the engine now holds.
+// recordCachedBlocks records in the routing table which prompt blocks the engine now has cached.
 func (st *transition) recordCachedBlocks(r Request, e AttemptFinished) {
 	if len(r.Blocks) > 0 {
 		st.routing = st.routing.WithCached(e.Upstream, r.Blocks, e.Usage.CachedUnits)
 	}
 }
 
-// cancel stops an attempt and frees its place in routing and queue.
+// cancelAttempt releases the attempt's slot in the routing table, settles its queue
+// charge, and stops the call.
 func (st *transition) cancelAttempt(r Request, a Attempt) {
 	st.routing = st.routing.WithReleased(a.Upstream, st.now)
 	st.settleQueueCharge(r, a, a.age(st.now))
-	// Cutting an unrepeatable call off does not undo it. Left alone it ends by its
-	// own deadline, and an answer that is only late is kept for the next question.
+	// Cancelling an unrepeatable call does not undo it. If it continues, it ends by its
+	// own deadline, and a late answer is stored for the caller's next try.
 	if r.runsAtMostOnce() && st.poolOf(r.currentStage()).Kind != chuteconfig.PoolEngine {
 		return
 	}
 	st.emit(CancelAttempt{Handle: r.Handle, Attempt: a.ID})
 }
 
-// settle charges the workspace's share of the pool with the time that an attempt took there; zero where it never ran.
+// settleQueueCharge replaces the estimated cost, charged to the workspace when the
+// queue released the request, by the time that the attempt took; 0 means that it
+// never ran.
 //
-// Each waiter that the queue let go is settled once, or the pool would count it
-// as in flight for good and predict waits that are too short. A hedge went past
-// the queue and has nothing to settle.
+// Each waiter that the queue releases is settled once. Otherwise the pool would
+// count it as in flight forever and predict waits that are too short. A hedge
+// bypasses the queue and has no charge to settle.
 func (st *transition) settleQueueCharge(r Request, a Attempt, took time.Duration) {
 	if a.Hedge {
 		return
@@ -84,7 +88,7 @@
 	st.queue = st.queue.WithDone(r.currentStage().Pool, team, r.Key.Workspace, took)
 }
 
-// ranFor is the time that a failed attempt kept its upstream busy.
+// busyTime returns how long a failed attempt occupied its upstream; 0 if the upstream did not take it.
 func busyTime(a Attempt, f chuterequest.Failure, now time.Time) time.Duration {
 	if f.NotTaken {
 		return 0
@@ -93,7 +97,8 @@
 	return a.age(now)
 }
 
-// attemptFailed decides between waiting for a sibling, another attempt, and giving up.
+// applyAttemptFailed waits if another attempt of the stage is still running, and
+// otherwise retries the stage or ends the request.
 func (st *transition) applyAttemptFailed(e AttemptFailed) {
 	if e.Usage != (chuterequest.Usage{}) {
 		st.chargeUsage(e.Attempt, e.Work, e.Usage, true)
@@ -121,18 +126,19 @@
 	st.dispatchQueued(e.Work.Pool)
 }
 
-// noteRefusal spreads an upstream's own word that it is leaving.
+// recordLeavingFailure marks the upstream as leaving if it said so in its failure response.
 func (st *transition) recordLeavingFailure(a Attempt, f chuterequest.Failure) {
 	if f.Leaving {
 		st.markLeaving(a.Upstream, st.routing.Incarnation(a.Upstream))
 	}
 }
 
-// afterFailure retries the stage where that is allowed and worth it, and else gives up at once.
+// retryOrEnd retries the stage if that is safe and checkRetry allows it, and otherwise
+// ends the request at once.
 func (st *transition) retryOrEnd(r Request, f chuterequest.Failure) {
 	if r.runsAtMostOnce() && !f.NotTaken && !canResume(r) {
-		// The call may have run. A second hand-over could enrol a student twice,
-		// so the caller hears Unknown and asks again with the same RequestID.
+		// The call may have run. A second dispatch could enrol a student twice, so
+		// the outcome is Unknown and the caller asks again with the same RequestID.
 		st.endRequest(r, chuterequest.Outcome{
 			Kind: chuterequest.OutcomeUnknown, Reason: "the call may have run: " + string(f.Kind),
 			RetryAfter: defaultRetryAfter,
@@ -150,12 +156,14 @@
 	st.startStage(r)
 }
 
-// withWiderChoice lets a stage try an upstream again when all others have failed it too.
+// allowTriedUpstreams clears the list of tried upstreams when a connection failure
+// leaves no other candidate.
 //
-// Connections to several upstreams can go silent at once, when something between
-// the ends has lost track of them, while new connections to the same upstreams
-// work: giving up after one stall each would fail requests that the next try
-// answers. Only failures of the connection count; attempts and budget still bound it.
+// Connections to several upstreams can stall at once, when something on the path has
+// lost their state, while new connections to the same upstreams work. Ending the
+// request after one stall at each upstream would fail requests that another attempt
+// answers. This applies only to failures of the connection; MaxAttempts and the
+// retry budget still limit it.
 func (st *transition) allowTriedUpstreams(r Request, f chuterequest.Failure) Request {
 	connection := f.Kind == chuterequest.FailureStalled || f.Kind == chuterequest.FailureBroken
 	if connection && st.routing.Candidates(st.routingQuery(r)) == 0 {
@@ -166,16 +174,18 @@
 	return r
 }
 
-// resumable says whether the stage has produced tokens: going on from them is not a second run.
+// canResume reports whether the stage has produced tokens; resuming after them does not run the call twice.
 func canResume(r Request) bool {
 	return r.Offset > 0
 }
 
-// mayRetry asks attempts, deadline, candidates and budget, in this order.
+// checkRetry checks the attempts, the deadline, the candidates and the retry budget,
+// in this order. It returns the reason if the stage may not be retried, and takes
+// from the budget if it may.
 //
-// Retries without a budget multiply the load of a failing stage by the number
-// of attempts just when it can bear least. A budget in proportion to recent
-// successes shrinks to nothing as the stage fails, so the load stays bounded.
+// Retries without a budget multiply the load of a failing stage by the number of
+// attempts while it has the least capacity. A budget in proportion to recent
+// successes shrinks to zero as the stage fails, so the load stays bounded.
 func (st *transition) checkRetry(r Request, f chuterequest.Failure) (string, bool) {
 	if r.Tries >= st.config.Policy.MaxAttempts {
 		return "all attempts failed", false
@@ -198,7 +208,7 @@
 	return "", true
 }
 
-// charge adds an attempt's usage to the ledger, once per attempt.
+// chargeUsage adds an attempt's usage to the ledger; the ledger counts each attempt once.
 func (st *transition) chargeUsage(id chuterequest.AttemptID, w Work, usage chuterequest.Usage, wasted bool) {
 	st.ledger = st.ledger.WithCharge(chuteledger.Charge{
 		Attempt: id, Team: w.Team, Workspace: w.Workspace, Pipeline: w.Pipeline, Stage: w.Stage,
--- a/internal/chutecore/reduce.go
+++ b/internal/chutecore/reduce.go
@@ -6,7 +6,7 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// Reduce takes one event into account and returns the next state and what is to be done.
+// Reduce applies one event and returns the next state and the effects to carry out.
 func Reduce(s State, event Event) (State, []Effect) {
 	st := transition{State: s, now: event.When()}
 	st.apply(event)
@@ -14,14 +14,14 @@
 	return st.State, st.effects
 }
 
-// step collects one reduction: the state so far and the effects so far.
+// transition is the application of one event: the state and the effects so far.
 type transition struct {
 	State
 	now     time.Time
 	effects []Effect
 }
 
-// apply sends the event to the function that decides on it.
+// apply calls the function that handles the event.
 func (st *transition) apply(event Event) {
 	switch e := event.(type) {
 	case RequestArrived:
@@ -57,17 +57,18 @@
 	}
 }
 
-// do adds an effect.
+// emit appends an effect.
 func (st *transition) emit(effect Effect) {
 	st.effects = append(st.effects, effect)
 }
 
-// put keeps the new value of a request.
+// setRequest stores the new value of a request in the state.
 func (st *transition) setRequest(r Request) {
 	st.requests = st.requests.Set(r.Handle, r)
 }
 
-// queueKey is how the queue names a request: by handle, since two callers may use one RequestID at a time.
+// queueKey returns the key of a request in the queue. It contains the handle instead
+// of the RequestID, since two callers may use one RequestID at the same time.
 func queueKey(r Request) chuterequest.Key {
 	return chuterequest.Key{Workspace: r.Key.Workspace, RequestID: formatHandle(r.Handle)}
 }
--- a/internal/chutecore/reduce_test.go
+++ b/internal/chutecore/reduce_test.go
@@ -15,7 +15,7 @@
 
 var testStart = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// driver feeds events to a state and keeps the effects of the last one.
+// driver applies events to a state and keeps the effects of the last one.
 type driver struct {
 	state   State
 	now     time.Time
@@ -68,7 +68,7 @@
 	d.reduce(HeadRead{Stamp: d.stamp(), Read: chuterollout.HeadRead{ID: id, Object: "o", Started: d.now, At: d.now}})
 	fetch, ok := findEffect[FetchConfig](d.effects)
 	if !ok {
-		tb.Fatal("the head was read, but no fetch followed")
+		tb.Fatal("HeadRead of a new version emitted no FetchConfig effect")
 	}
 	d.reduce(BodyFetched{Stamp: d.stamp(), Fetch: fetch.Fetch, Digest: id.Digest, Config: cfg})
 }
@@ -108,7 +108,7 @@
 	})
 }
 
-// find returns the first effect of a type.
+// findEffect returns the first effect of a type.
 func findEffect[E Effect](effects []Effect) (E, bool) {
 	for _, effect := range effects {
 		if e, ok := effect.(E); ok {
@@ -156,9 +156,9 @@
 	qt.Assert(t, d.state.InFlight(), qt.Equals, 0)
 }
 
-// A stream breaks after 4 tokens. The caller sees the text go on: the stage is
-// dispatched to another upstream with a resume, and without the retry budget,
-// since giving up would waste the tokens that were paid for.
+// A stream breaks after 4 tokens. The stage is dispatched to another upstream with
+// Resume, so that the caller sees the text continue. The retry budget does not
+// apply, since ending the request would waste the tokens that were paid for.
 func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 0 })
 	d.sendRequest(1, "digest")
@@ -170,8 +170,8 @@
 	qt.Assert(t, resumed.Upstream, qt.Not(qt.Equals), broken.Upstream)
 }
 
-// The post was handed over and its connection broke. The caller hears Unknown at
-// once: it may have been posted, and a second hand-over could post it twice.
+// A post was dispatched and its connection broke. The outcome is Unknown at once:
+// the call may have run, and a second dispatch could post twice.
 func TestBrokenUnrepeatableIsUnknown(t *testing.T) {
 	d := newDriver(t, 2, nil)
 	d.sendRequest(1, "post")
@@ -184,8 +184,8 @@
 	expectEffect[FinishClaim](t, d)
 }
 
-// The upstream refused the post by its own word, so nothing was posted: it goes
-// to another one under the same claim.
+// The upstream did not take the post, so nothing was posted: it is dispatched to
+// another upstream under the same claim.
 func TestRefusedUnrepeatableGoesElsewhere(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 1 })
 	d.sendRequest(1, "post")
@@ -194,8 +194,8 @@
 	expectEffect[Dispatch](t, d)
 }
 
-// The deadline passes before the table answers. The caller hears Unknown, since
-// the table has not said that no earlier sending ran; the claim that comes late
+// The deadline passes before the table answers. The outcome is Unknown, since the
+// table has not confirmed that no earlier attempt ran. A claim that is taken later
 // is given up and never used: the caller may have published again meanwhile.
 func TestLateClaimIsGivenUp(t *testing.T) {
 	d := newDriver(t, 2, nil)
@@ -207,9 +207,9 @@
 	expectEffect[GiveUpClaim](t, d)
 }
 
-// A post was answered at another node, and the balancer sends it again to one
-// that has no room for it. NotRun would be false; the stored answer is told.
-// Only when the table shows that the key never ran is the refusal told.
+// A post was answered at another node, and the balancer sends it again to a node
+// that is full. NotRun would be false, so the stored answer is returned. The
+// refusal is returned only if the table shows that the key never ran.
 func TestRefusalLooksUpClaim(t *testing.T) {
 	newFullNode := func(t *testing.T) *driver {
 		t.Helper()
@@ -241,9 +241,9 @@
 	})
 }
 
-// The table is down. A post that no other node knows of is told NotRun; one
-// that a dead node may have run right before is told Unknown, since "not
-// published" would lead to a second publication.
+// The table is down. The outcome of a post that no other node knows of is NotRun.
+// If a dead node may have run the post just before, it is Unknown, since NotRun
+// would lead the caller to publish a second time.
 func TestClaimFailureOutcome(t *testing.T) {
 	for excluded, kind := range map[bool]chuterequest.OutcomeKind{
 		true: chuterequest.OutcomeNotRun, false: chuterequest.OutcomeUnknown,
@@ -293,8 +293,9 @@
 	})
 }
 
-// The connections to both encoders went silent. Each call stalls once; the third
-// goes over a new connection to an encoder that failed before, and is answered.
+// The connections to both encoders stall. After one stall at each encoder the stage
+// is dispatched a third time, to an encoder that failed before, since a new
+// connection may work. A third stall ends the request.
 func TestStalledUpstreamsAreRetried(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) { cfg.Policy.RetryBudget = 1 })
 	d.sendRequest(1, "digest")
@@ -317,7 +318,7 @@
 	expectOutcome(t, d, chuterequest.OutcomeNotRun)
 }
 
-// BenchmarkRequest reduces the events of one request of two stages.
+// BenchmarkRequest applies the events of one request with two stages.
 func BenchmarkRequest(b *testing.B) {
 	for _, upstreams := range []int{3, 30, 200} {
 		b.Run(fmt.Sprint("upstreams=", 3*upstreams), func(b *testing.B) {
@@ -342,10 +343,11 @@
 	}
 }
 
-// Two pipelines name a stage alike; one generates for four seconds, the other for
-// a tenth of one. The short one's callers must not be turned away for the long
-// one's time. Of the long one's callers in a hurry nearly all are turned away, but
-// a few are let in: else one slow spell would turn them away for good.
+// Two pipelines use the same stage name; one generates for 4 s, the other for
+// 0.1 s. Requests of the short one must not be refused for the long one's service
+// time. Of the long one's requests with a deadline of 1 s nearly all are refused,
+// but a few are admitted as probes: otherwise one slow period would cause them to
+// be refused forever.
 func TestServiceTimesAreLearnedByPipeline(t *testing.T) {
 	d := newDriver(t, 2, func(cfg *chuteconfig.Config) {
 		stages := []chuteconfig.Stage{{Name: "generate", Pool: "model", Model: "general"}}
--- a/internal/chutecore/relay.go
+++ b/internal/chutecore/relay.go
@@ -8,33 +8,33 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// RelayEvent carries what happened to relayed requests into the one reducer.
+// RelayEvent wraps an event of relayed requests for Reduce.
 type RelayEvent struct {
 	Stamp
 	Event chuterelay.Event
 }
 
-// RelayEffect carries what is to be done for relayed requests.
+// RelayEffect wraps an effect of relayed requests.
 type RelayEffect struct {
 	Effect chuterelay.Effect
 }
 
 func (RelayEffect) effect() {}
 
-// LedgerDue asks for the cost counters that are to be written now; AtExit asks for all that are not written.
+// LedgerDue asks for the cost counters that are due to be written; with AtExit, for all that are not yet written.
 type LedgerDue struct {
 	Stamp
 	AtExit bool
 }
 
-// WriteLedgerRows writes cost counters, each row on the condition of its version, all or none.
+// WriteLedgerRows writes rows of cost counters in one transaction, each row conditional on its version.
 type WriteLedgerRows struct {
 	Rows []chuteledger.Row
 }
 
 func (WriteLedgerRows) effect() {}
 
-// ledgerDue hands out the rows to write in one go.
+// applyLedgerDue emits one effect that writes all due rows.
 func (st *transition) applyLedgerDue(e LedgerDue) {
 	due := st.ledger.Due
 	if e.AtExit {
@@ -42,26 +42,27 @@
 	}
 	ledger, rows, err := due(st.now)
 	if err != nil || len(rows) == 0 {
-		// A row that can't be encoded stays in memory and is tried again.
+		// A row that can't be encoded stays in memory and is retried.
 		return
 	}
 	st.ledger = ledger
 	st.emit(WriteLedgerRows{Rows: rows})
 }
 
-// WithRelay returns the state with relayed requests served from the given state on.
+// WithRelay returns the state with the given state of relayed requests.
 func (s State) WithRelay(relay chuterelay.State) State {
 	s.relay = relay
 
 	return s
 }
 
-// Relay returns what is known of relayed requests.
+// Relay returns the state of relayed requests.
 func (s State) Relay() chuterelay.State {
 	return s.relay
 }
 
-// applyRelay lets the relaying part decide, and charges what its effects say was used.
+// applyRelay applies the event to the state of relayed requests, adds its charges to
+// the ledger and emits its other effects.
 func (st *transition) applyRelay(e RelayEvent) {
 	var effects []chuterelay.Effect
 	st.relay, effects = chuterelay.Reduce(st.relay, st.now, e.Event)
@@ -76,7 +77,7 @@
 	}
 }
 
-// chargeRelayed counts work of relayed requests; their workspaces are charged as teams of their own.
+// chargeRelayed charges the usage of a relayed request; its workspace counts as a team of its own.
 func (st *transition) chargeRelayed(c chuterelay.Charge) {
 	attempt := chuterequest.AttemptID(st.identity.Incarnation + "-r" + strconv.FormatUint(c.Attempt, 36))
 	st.ledger = st.ledger.WithCharge(chuteledger.Charge{
--- a/internal/chutecore/request.go
+++ b/internal/chutecore/request.go
@@ -8,23 +8,23 @@
 	"azurechute.example/azurechute/pkg/chuteconfig"
 )
 
-// Phase says what a request waits for.
+// Phase is what a request is waiting for.
 type Phase string
 
 // The phases of a request in flight.
 const (
 	PhaseClaiming Phase = "Claiming"
-	// PhaseFollowing: another attempt holds the claim and its result is awaited.
+	// PhaseFollowing means that another attempt holds the claim and the request waits for its result.
 	PhaseFollowing Phase = "Following"
 	PhaseQueued    Phase = "Queued"
-	// PhaseRefusing: the request is to be turned away unless its key has run already.
+	// PhaseRefusing means that the request is refused unless a look-up finds that its key has already run.
 	PhaseRefusing Phase = "Refusing"
-	// PhaseUnclaimed: the claim was not to be had, but nobody else has run the key.
+	// PhaseUnclaimed means that the claim could not be taken, but no other attempt has run the key.
 	PhaseUnclaimed Phase = "Unclaimed"
 	PhaseRunning   Phase = "Running"
 )
 
-// Attempt is one running hand-over of the request's present stage.
+// Attempt is one running dispatch of the request's current stage.
 type Attempt struct {
 	ID        chuterequest.AttemptID
 	Upstream  string
@@ -32,12 +32,12 @@
 	Hedge     bool
 }
 
-// age is how long the attempt has run.
+// age returns how long the attempt has run.
 func (a Attempt) age(now time.Time) time.Duration {
 	return now.Sub(a.StartedAt)
 }
 
-// Request is one request in flight; values are never changed in place.
+// Request is one request in flight; a value is immutable once it is in the state.
 type Request struct {
 	Handle       uint64
 	Key          chuterequest.Key
@@ -52,48 +52,48 @@
 	Phase Phase
 	// Stage indexes Stages.
 	Stage int
-	// ClaimHeld says that the durable claim of the key is this request's.
+	// ClaimHeld is true if this request holds the durable claim of its key.
 	ClaimHeld bool
-	// HandedOver counts attempts, of any stage, that an upstream may have taken.
+	// HandedOver counts the dispatched attempts, of any stage, that an upstream may have taken.
 	HandedOver int
 	// UnrepeatableHandedOver counts those among them that must not run twice.
 	UnrepeatableHandedOver int
-	// Tries counts attempts of the present stage.
+	// Tries counts the attempts of the current stage.
 	Tries int
-	// Tried names the upstreams that failed the present stage.
+	// Tried names the upstreams at which the current stage has failed.
 	Tried   []string `json:",omitempty"`
 	Running []Attempt
-	// Offset counts the tokens had of the present stage, for a resume.
+	// Offset counts the tokens received of the current stage, for a resume.
 	Offset int
-	// Result is the attempt whose result the last finished stage took.
+	// Result is the attempt whose result was accepted for the last finished stage.
 	Result chuterequest.AttemptID
-	// Refusal is what the caller is told if the key turns out not to have run; for PhaseRefusing.
+	// Refusal is the outcome if the key has not run; set for PhaseRefusing.
 	Refusal *chuterequest.Outcome `json:",omitempty"`
-	// Blocks are the prompt's block hashes when the present stage is an engine's.
+	// Blocks are the prompt's block hashes if the current stage runs on an engine.
 	Blocks []uint64 `json:"-"`
 }
 
-// stage returns the present stage.
+// currentStage returns the current stage.
 func (r Request) currentStage() chuteconfig.Stage {
 	return r.Stages[r.Stage]
 }
 
-// atMostOnce says whether the present stage must not run twice.
+// runsAtMostOnce reports whether the current stage must not run twice.
 func (r Request) runsAtMostOnce() bool {
 	return r.Unrepeatable || r.currentStage().Unrepeatable
 }
 
-// claimable says whether any part of the request must not run twice.
+// hasUnrepeatableWork reports whether any stage of the request must not run twice.
 func (r Request) hasUnrepeatableWork() bool {
 	return r.Unrepeatable || slices.ContainsFunc(r.Stages, func(s chuteconfig.Stage) bool { return s.Unrepeatable })
 }
 
-// needsClaim says whether the present stage may not be handed over without the durable claim.
+// needsClaim reports whether the durable claim must be taken before the current stage is dispatched.
 func (r Request) needsClaim() bool {
 	return r.runsAtMostOnce() && !r.ClaimHeld
 }
 
-// attempt finds a running attempt of the present stage.
+// runningAttempt returns the running attempt of the current stage with the ID, if there is one.
 func (r Request) runningAttempt(id chuterequest.AttemptID) (Attempt, bool) {
 	i := slices.IndexFunc(r.Running, func(a Attempt) bool { return a.ID == id })
 	if i < 0 {
@@ -110,7 +110,7 @@
 	return r
 }
 
-// WithClaim returns the request as holder of its key's claim.
+// WithClaim returns the request with its key's claim held.
 func (r Request) WithClaim() Request {
 	r.ClaimHeld = true
 
@@ -130,7 +130,8 @@
 	return r
 }
 
-// WithoutAttempt returns the request after an attempt failed; notTaken undoes the hand-over.
+// WithoutAttempt returns the request after an attempt failed; with notTaken the
+// attempt no longer counts as handed over.
 func (r Request) WithoutAttempt(a Attempt, notTaken bool) Request {
 	r.Running = slices.DeleteFunc(slices.Clone(r.Running), func(other Attempt) bool { return other.ID == a.ID })
 	r.Tried = append(slices.Clip(r.Tried), a.Upstream)
@@ -145,14 +146,14 @@
 	return r
 }
 
-// WithOffset returns the request with the count of tokens that can be trusted of the present stage.
+// WithOffset returns the request with the number of tokens of the current stage from which it can be resumed.
 func (r Request) WithOffset(offset int) Request {
 	r.Offset = offset
 
 	return r
 }
 
-// WithStageTaken returns the request at its next stage, the present one's result being the attempt's.
+// WithStageTaken returns the request at its next stage, with the attempt's result accepted for the current one.
 func (r Request) WithStageTaken(id chuterequest.AttemptID, nextBlocks []uint64) Request {
 	r.Result = id
 	r.Stage++
--- a/internal/chutecore/state.go
+++ b/internal/chutecore/state.go
@@ -20,26 +20,27 @@
 	"azurechute.example/azurechute/pkg/chuteconfig"
 )
 
-// Identity names one process of the system.
+// Identity identifies one node process.
 type Identity struct {
 	Node        string
 	Zone        string
 	Region      string
 	PeerAddress string
-	// Incarnation is new at each start of the process.
+	// Incarnation differs at each start of the process.
 	Incarnation string
 }
 
-// Times of a lease before the first configuration says others.
+// Lease times used until the first configuration sets others.
 const (
 	initialLeaseDuration = 10 * time.Second
 	initialOrderTimeout  = 30 * time.Second
 )
 
-// ledgerShards spreads the counters over rows small enough for peers to keep; only changed rows are written.
+// ledgerShards is the number of rows over which the counters are spread, so that each
+// row is small enough for peers to keep; only changed rows are written.
 const ledgerShards = 4
 
-// State is all that one node decides from; copies are cheap and never change.
+// State is everything that a node's decisions depend on. It is immutable and cheap to copy.
 type State struct {
 	identity Identity
 	version  uint64
@@ -58,25 +59,26 @@
 	steward chutesteward.State
 	members chutemember.Set
 	lastRun lastRunTimes
-	// relay is what decides on relayed requests; unused where none are served.
+	// relay is the state of relayed requests; unused on nodes that serve none.
 	relay chuterelay.State
 
 	lastAttempt uint64
 	random      rand.PCG
 	draining    bool
-	// contested says that another process goes by this node's name.
+	// contested is true if another process uses this node's name.
 	contested bool
-	// uncopied counts the ledger rows that are too large for peers to keep.
+	// uncopied counts the ledger rows that no peer can keep because they exceed the exchange size limit.
 	uncopied int
 }
 
-// pace remembers when the slower periodic work was last done.
+// lastRunTimes records when the periodic work with a longer period last ran.
 type lastRunTimes struct {
 	gossip  time.Time
 	steward time.Time
 }
 
-// NewState returns the state of a node that has no configuration yet; seed makes its random choices repeatable.
+// NewState returns the state of a node without a configuration. The random choices
+// depend only on seed and now, so they can be replayed.
 func NewState(identity Identity, seed uint64, now time.Time) State {
 	return State{
 		identity: identity,
@@ -98,22 +100,22 @@
 	}
 }
 
-// Ready says whether the node has a configuration and takes new work.
+// Ready reports whether the node has a configuration and accepts new requests.
 func (s State) Ready() bool {
 	return s.version > 0 && !s.draining
 }
 
-// Draining says whether the node was asked to end.
+// Draining reports whether the node was asked to shut down.
 func (s State) Draining() bool {
 	return s.draining
 }
 
-// InFlight counts the requests not yet answered.
+// InFlight returns the number of requests that are not yet answered.
 func (s State) InFlight() int {
 	return s.requests.Len()
 }
 
-// Version returns the number and digest of the configuration in force; 0 means none yet.
+// Version returns the version and digest of the configuration in force; version 0 means none.
 func (s State) Version() (uint64, string) {
 	return s.version, s.digest
 }
@@ -128,7 +130,7 @@
 	return s.ledger
 }
 
-// Members returns every node known, this one included.
+// Members returns every known node, including this one.
 func (s State) Members() []chutemember.Member {
 	return s.members.Members()
 }
@@ -138,24 +140,24 @@
 	return s.routing.All()
 }
 
-// pool returns the configuration of the pool that a stage runs in.
+// poolOf returns the configuration of the pool that a stage runs in.
 func (s State) poolOf(stage chuteconfig.Stage) chuteconfig.Pool {
 	return s.config.Pools[stage.Pool]
 }
 
-// newAttemptID returns an id that no other attempt of any node has.
+// newAttemptID returns an ID that no other attempt of any node has.
 func (s State) newAttemptID() (State, chuterequest.AttemptID) {
 	s.lastAttempt++
 
 	return s, chuterequest.NewAttemptID(s.identity.Incarnation, s.lastAttempt)
 }
 
-// sortedNames returns a map's keys in order, so that decisions do not depend on Go's map order.
+// sortedNames returns a map's keys in sorted order, so that decisions do not depend on Go's map iteration order.
 func sortedNames[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// HoldsLease says whether this node holds its zone's lease at the time.
+// HoldsLease reports whether this node holds its zone's lease at the time now.
 func (s State) HoldsLease(now time.Time) bool {
 	return s.lease.Held(now)
 }
