--- a/internal/chutecore/relay.go
+++ b/internal/chutecore/relay.go
@@ -8,67 +8,68 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// RelayEvent carries what happened to relayed requests into the one reducer.
+// RelayEvent wraps an event of relayed requests for Reduce.
 type RelayEvent struct {
 	Stamp
 	Event chuterelay.Event
 }
 
-// RelayEffect carries what is to be done for relayed requests.
+// RelayEffect wraps an effect of relayed requests.
 type RelayEffect struct {
 	Effect chuterelay.Effect
 }
 
 func (RelayEffect) effect() {}
 
-// LedgerDue asks for the cost counters that are to be written now; AtExit asks for all that are not written.
+// LedgerDue asks for the cost counters that are due to be written; with AtExit, for all that are not yet written.
 type LedgerDue struct {
 	Stamp
 	AtExit bool
 }
 
-// WriteLedgerRows writes cost counters, each row on the condition of its version, all or none.
+// WriteLedgerRows writes rows of cost counters in one transaction, each row conditional on its version.
 type WriteLedgerRows struct {
 	Rows []chuteledger.Row
 }
 
 func (WriteLedgerRows) effect() {}
 
-// ledgerDue hands out the rows to write in one go.
-func (st *step) ledgerDue(e LedgerDue) {
+// applyLedgerDue emits one effect that writes all due rows.
+func (st *transition) applyLedgerDue(e LedgerDue) {
 	due := st.ledger.Due
 	if e.AtExit {
 		due = st.ledger.DueAtExit
 	}
 	ledger, rows, err := due(st.now)
 	if err != nil || len(rows) == 0 {
-		// A row that can't be encoded stays in memory and is tried again.
+		// A row that can't be encoded stays in memory and is retried.
 		return
 	}
 	st.ledger = ledger
-	st.do(WriteLedgerRows{Rows: rows})
+	st.emit(WriteLedgerRows{Rows: rows})
 }
 
-// WithRelay returns the state with relayed requests served from the given state on.
+// WithRelay returns the state with the given state of relayed requests.
 func (s State) WithRelay(relay chuterelay.State) State {
 	s.relay = relay
 
 	return s
 }
 
-// Relay returns what is known of relayed requests.
+// Relay returns the state of relayed requests.
 func (s State) Relay() chuterelay.State {
 	return s.relay
 }
 
-// applyRelay lets the relaying part decide, and charges what its effects say was used.
-func (st *step) applyRelay(e RelayEvent) {
+// applyRelay applies the event to the state of relayed requests, adds its charges to
+// the ledger and emits its other effects.
+func (st *transition) applyRelay(e RelayEvent) {
 	var effects []chuterelay.Effect
 	st.relay, effects = chuterelay.Reduce(st.relay, st.now, e.Event)
 	for _, effect := range effects {
 		charge, ok := effect.(chuterelay.Charge)
 		if !ok {
-			st.do(RelayEffect{Effect: effect})
+			st.emit(RelayEffect{Effect: effect})
 
 			continue
 		}
@@ -76,8 +77,8 @@
 	}
 }
 
-// chargeRelayed counts work of relayed requests; their workspaces are charged as teams of their own.
-func (st *step) chargeRelayed(c chuterelay.Charge) {
+// chargeRelayed charges the usage of a relayed request; its workspace counts as a team of its own.
+func (st *transition) chargeRelayed(c chuterelay.Charge) {
 	attempt := chuterequest.AttemptID(st.identity.Incarnation + "-r" + strconv.FormatUint(c.Attempt, 36))
 	st.ledger = st.ledger.WithCharge(chuteledger.Charge{
 		Attempt: attempt, Team: c.Workspace, Workspace: c.Workspace, Pipeline: c.Pipeline, Stage: c.Stage,
