--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -10,40 +10,42 @@
 )
 
 const (
-	// waitReportTTL is how long a collector's word on its queue counts; a queue of a
-	// second is gone a second later.
+	// waitReportTTL is how long a collector's report of its queue's wait is used. A queue of one
+	// second has been served a second later.
 	waitReportTTL = time.Second
-	// maxToleratedWait is the wait up to which a request is taken in whatever its aim: about
-	// the error of the expectation, one call.
+	// maxToleratedWait is the queue time up to which a request is admitted whatever its aim. It is
+	// about the error of the estimate, which is one call.
 	maxToleratedWait = 300 * time.Millisecond
-	// overloadRetryAfter is when a caller may come back after it was turned away for a
-	// queue: sooner it would meet the same queue and be turned away again.
+	// overloadRetryAfter is the retry delay given to a caller that was refused because of a queue.
+	// After a shorter delay it would meet the same queue and be refused again.
 	overloadRetryAfter = 2 * time.Second
-	// maxWaitReports is the number of waits from which on those that count no more are dropped:
-	// a few for each lane, and one for each workspace that is beyond its share.
+	// maxWaitReports is the number of wait reports above which expired ones are dropped: a few for
+	// each lane, and one for each workspace that is over its share.
 	maxWaitReports = 256
-	// localWaitTTL is how long a worked out wait is told again: counting the queue for
-	// each of hundreds of results a second would cost more than it tells.
+	// localWaitTTL is how long a computed wait of this node's collector is reused. Counting the
+	// queue for each of hundreds of results a second would cost more than the fresher value is
+	// worth.
 	localWaitTTL = 50 * time.Millisecond
 )
 
-// waitReport is a collector's word on its queue.
+// waitReport is a collector's report of how long jobs wait in a queue.
 type waitReport struct {
 	wait time.Duration
 	at   time.Time
 }
 
-// queueKey names the jobs that wait alike: those of one lane, urgency and level.
+// queueKey identifies jobs that wait equally long: those of one lane, priority and level.
 type queueKey struct {
 	lane     chutebatch.Lane
 	priority int
-	// shareLevel tells waits apart at the own collector. What others tell is kept for all
-	// workspaces within their shares, and for one by name that is beyond.
+	// shareLevel distinguishes the share levels of this node's collector. It is unused for reports
+	// of other nodes, which are kept for all workspaces within their shares (with an empty
+	// workspace), and by name for one that is over its share.
 	shareLevel int
 	workspace  string
 }
 
-// queueHasher hashes such keys for the library's map.
+// queueHasher hashes queueKeys for immutable.Map.
 type queueHasher struct{}
 
 func (queueHasher) Hash(k queueKey) uint32 {
@@ -56,7 +58,7 @@
 	return a == b
 }
 
-// stageQueue names the queue in which a request's stage would wait.
+// stageQueue returns the queue in which a request's stage would wait.
 func (st *reduction) stageQueue(r request, stage int) queueKey {
 	job := chutebatch.Job{Pool: r.Pipeline.Stages[stage].Pool, Zone: st.placementZone(r.zone)}
 
@@ -65,9 +67,10 @@
 	}
 }
 
-// recordWait takes a collector's word on its queue; what those wait that come back says
-// nothing to others, since they wait for all that can still be on time. What a workspace
-// beyond its share waits counts for that one alone: it would have the others turned away.
+// recordWait stores a collector's report of its queue's wait. The waits of resent requests are
+// ignored: those wait for all requests that can still be on time, so their wait says nothing about
+// others. The wait of a workspace over its share is stored for that workspace alone, since it
+// would have the requests of others refused.
 func (st *reduction) recordWait(r request, queue queueKey, wait time.Duration, overShare bool) {
 	if r.waitedBefore > 0 {
 		return
@@ -82,7 +85,7 @@
 	}
 }
 
-// dropExpiredWaits forgets the waits that count no more.
+// dropExpiredWaits removes the wait reports that have expired.
 func (st *reduction) dropExpiredWaits() {
 	for i := st.waitReports.Iterator(); !i.Done(); {
 		if key, heard, _ := i.Next(); st.now.Sub(heard.at) >= waitReportTTL {
@@ -91,7 +94,8 @@
 	}
 }
 
-// expectedWait is how long jobs are believed to wait in a queue now.
+// expectedWait returns how long jobs are expected to wait in a queue now: the last report less the
+// time since, or 0 without a report.
 func (st *reduction) expectedWait(queue queueKey) time.Duration {
 	heard, ok := st.currentWait(queue)
 	if !ok {
@@ -105,15 +109,16 @@
 	return max(0, heard.wait-st.now.Sub(heard.at))
 }
 
-// currentWait returns what was told of a queue, if that counts still.
+// currentWait returns the last wait report of a queue, and false if there is none or it has
+// expired.
 func (st *reduction) currentWait(queue queueKey) (waitReport, bool) {
 	heard, ok := st.waitReports.Get(queue)
 
 	return heard, ok && st.now.Sub(heard.at) < waitReportTTL
 }
 
-// overShare says whether a request's workspace is known to be beyond its share of the
-// queue of a stage.
+// overShare reports whether a request's workspace is known to be over its share of the queue of a
+// stage.
 func (st *reduction) overShare(r request) bool {
 	for i := range r.stages {
 		if _, overShare := st.currentWait(st.stageQueue(r, i)); overShare && r.Workspace.Name != "" {
@@ -124,7 +129,8 @@
 	return false
 }
 
-// queueTime sums the waits on the longest way through the stages that are left.
+// queueTime sums the expected waits on the slowest path from a stage through the unfinished stages
+// after it; the result includes the wait of the stage itself.
 func (st *reduction) queueTime(r request, stage int) time.Duration {
 	longest := time.Duration(0)
 	for i := range r.Pipeline.Stages {
@@ -139,11 +145,11 @@
 	return longest
 }
 
-// queuesTooLong says whether the queues in front of a request's stages are longer than is
-// worth waiting for.
+// queuesTooLong reports whether the queues of a request's stages are too long for it to be
+// answered in useful time, and returns their total wait.
 //
-// A later stage's collector would turn it away as well, but after the first
-// stages have run for it in vain, and after its caller has waited for them.
+// A later stage's collector would refuse the request as well, but only after the first stages have
+// run for nothing and the caller has waited for them.
 func (st *reduction) queuesTooLong(r request) (time.Duration, bool) {
 	for i := range r.stages {
 		if r.stages[i].done || len(r.Pipeline.Stages[i].After) > 0 {
@@ -159,18 +165,18 @@
 	return 0, false
 }
 
-// overloadRefusal is the refusal of a request for the queue in front of it. A workspace that is
-// beyond its share has a queue of its own, and its callers are told to come back when that
-// is over; it is 0 for all others.
+// overloadRefusal refuses a request because of its queue time. A workspace over its share has a
+// queue of its own, and its callers are told to retry when that queue has been served;
+// ownQueueWait is 0 for all others.
 func overloadRefusal(reason string, ownQueueWait time.Duration) Refusal {
 	return Refusal{Kind: RefusedNotRun, Reason: reason, RetryAfter: max(overloadRetryAfter, ownQueueWait)}
 }
 
-// waitsAhead sums the waits of a job here and at the stages that follow, as far as
-// this node collects for them too.
+// waitsAhead sums the waits of a job here and at the stages that follow, as far as this node is
+// their collector too.
 //
-// The queue of a request's second stage shows only there otherwise: by then the
-// first stage has run for it in vain, and its caller has waited for that.
+// Otherwise the queue of a request's second stage shows only after the first stage has run for
+// nothing and the caller has waited for that.
 func (st *reduction) waitsAhead(job chutebatch.Job) time.Duration {
 	wait := st.collector.Wait(job, st.laneSeats(job.Lane()), st.now)
 	for _, pool := range job.Then {
@@ -184,15 +190,15 @@
 	return wait
 }
 
-// localWait is how long a job of this kind would wait at the own collector now, and
-// whether that holds for its workspace alone.
+// localWait returns how long a job like the sample would wait at this node's collector now, and
+// whether that holds for its workspace alone because it is over its share.
 //
-// What was worked out for one of its rank holds for a moment; but not for a late job,
-// which waits for all that are not, and whose wait would turn those away.
+// A computed wait is cached for localWaitTTL and reused for jobs of the same key. The wait of a
+// late job is not cached: late jobs wait for all others, so their wait would have those refused.
 func (st *reduction) localWait(sample chutebatch.Job) (wait time.Duration, overShare bool) {
 	lane := sample.Lane()
 	level := st.collector.Level(sample)
-	// A new job of the kind has its whole time before it.
+	// A new job like the sample has its whole time left.
 	sample.AimAt = st.now.Add(sample.AimAt.Sub(sample.Since))
 	sample.ID = math.MaxUint64
 	late := st.collector.Late(sample, st.now)
--- a/internal/chuterelay/arrive.go
+++ b/internal/chuterelay/arrive.go
@@ -6,7 +6,7 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-// admit takes a request in, or refuses it before anything of it runs.
+// admit accepts a request, or refuses it before any part of it runs.
 func (st *reduction) admit(e Arrived) {
 	waited := st.callerWaits.waitedBefore(e.Pipeline.Name, e.CallerWait)
 	st.callerWaits = st.callerWaits.with(e.Pipeline.Name, e.CallerWait)
@@ -26,7 +26,7 @@
 		return
 	}
 	for i := range r.stages {
-		// A stage without parts for this request is left out.
+		// A stage without parts for this request is skipped.
 		r.stages[i].done = r.parts(i) == 0
 	}
 	if st.limitedWhenStagesDone(r) {
@@ -63,7 +63,7 @@
 	return b
 }
 
-// unservable says why the request can't be served at all.
+// unservable returns the refusal of a request that can't be served at all, and false if it can.
 func (st *reduction) unservable(r request) (Refusal, bool) {
 	if !st.now.Before(r.Deadline) {
 		return Refusal{Kind: RefusedNotRun, Reason: "the deadline has passed"}, true
@@ -94,7 +94,8 @@
 	return st.fleet.Choose(query, st.now, st.randomFraction())
 }
 
-// resultZone is the zone in which most of the stages' results lie, empty if there are none.
+// resultZone returns the zone that holds most bytes of the stages' results, or an empty string if
+// there are no results.
 func (r request) resultZone() string {
 	bytes := map[string]int64{}
 	best := ""
@@ -110,7 +111,7 @@
 	return best
 }
 
-// advance starts what can start: stages whose inputs are there, or else the call.
+// advance requests all stages whose inputs are ready, or sends the call once all stages are done.
 func (st *reduction) advance(r request) {
 	for i := range r.stages {
 		if current, ok := st.requests.Get(r.Handle); ok && current.canRequestStage(i) && !current.tooEarly(i) {
@@ -123,15 +124,15 @@
 	}
 }
 
-// remainingTime is the time that the request usually needs after a stage.
+// remainingTime returns the time that the request usually needs after a stage.
 func (st *reduction) remainingTime(r request, stage int) time.Duration {
 	longest, _ := st.longestPath(r, stage)
 
 	return longest
 }
 
-// longestPath is the time that the request usually needs after a stage, and the pools of
-// the stages on the way that takes so long.
+// longestPath returns the time that the request usually needs after a stage, and the pools of the
+// stages on the path that takes longest.
 func (st *reduction) longestPath(r request, stage int) (time.Duration, []string) {
 	longest, pools := st.callTimes.expected(r), []string(nil)
 	for i := range r.Pipeline.Stages {
@@ -157,7 +158,7 @@
 	return false
 }
 
-// stageTime is the usual time of a stage: half a call's wait and a full call.
+// stageTime returns the usual time of a stage: a wait of half a call and one full call.
 func (st *reduction) stageTime(r request, i int) time.Duration {
 	b := st.config.Pools[r.Pipeline.Stages[i].Pool].Batching
 	if b == nil {
@@ -168,7 +169,7 @@
 	return call + call/2
 }
 
-// callerLeft stops all work for a request whose caller left.
+// callerLeft stops all work for a request whose caller has gone.
 func (st *reduction) callerLeft(handle uint64) {
 	r, ok := st.requests.Get(handle)
 	if !ok {
@@ -193,10 +194,11 @@
 	st.giveUp(r, refusal)
 }
 
-// refuseUnsent refuses the requests that no upstream has got, shortly before the process ends.
+// refuseUnsent refuses the requests that were not sent to any upstream, shortly before the process
+// ends.
 //
-// They would be cut off with the process; refused now they have truly not run, and
-// their callers go to another node with time left.
+// The end of the process would break them off. Refused now they have certainly not run, and their
+// callers go to another node with time left.
 func (st *reduction) refuseUnsent() {
 	for i := st.requests.Iterator(); !i.Done(); {
 		if _, r, _ := i.Next(); r.current.id == 0 && !r.answerBegun {
@@ -205,7 +207,7 @@
 	}
 }
 
-// cancelCall cancels the call under way.
+// cancelCall cancels the current call.
 func (st *reduction) cancelCall(r request) {
 	if r.current.id == 0 {
 		return
@@ -218,12 +220,12 @@
 	})
 }
 
-// uncountAttempt takes the call out of the fleet's count.
+// uncountAttempt removes the current call from the fleet's counts of calls and prompt tokens.
 func (st *reduction) uncountAttempt(r request) {
 	st.fleet = st.fleet.WithRead(r.current.upstream.ID, r.current.tokens).WithDone(r.current.upstream.ID)
 }
 
-// finish forgets a request and frees all that it holds.
+// finish removes a request and frees all that it holds.
 func (st *reduction) finish(r request) {
 	for i := range r.stages {
 		if id := r.stages[i].jobRequestID; id != 0 {
--- a/internal/chuterelay/attempt.go
+++ b/internal/chuterelay/attempt.go
@@ -6,7 +6,7 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-// sendCall hands the request to an upstream, now that all stages are done.
+// sendCall sends the request to an upstream, after all its stages are done.
 func (st *reduction) sendCall(r request) {
 	if refusal, quarantined := st.quarantineRefusalFor(r.Fingerprint); quarantined {
 		st.giveUp(r, refusal)
@@ -15,7 +15,8 @@
 	}
 	u, ok := st.chooseUpstream(r)
 	if !ok && len(r.triedUpstreams) > 0 {
-		// All others failed it too, or are gone: one that was tried may have recovered.
+		// All other upstreams failed the request too, or are gone: one that was tried may have
+		// recovered.
 		untried := r
 		untried.triedUpstreams = nil
 		u, ok = st.chooseUpstream(untried)
@@ -51,7 +52,8 @@
 	})
 }
 
-// attemptBegan notes that the caller has part of the answer: the upstream has read all inputs by now.
+// attemptBegan records that the caller has part of the answer. The upstream has read all inputs by
+// then, so their results are released.
 func (st *reduction) attemptBegan(e AttemptBegan) {
 	r, ok := st.requests.Get(e.Handle)
 	if !ok || r.current.id != e.Attempt {
@@ -75,7 +77,7 @@
 	st.putRequest(r)
 }
 
-// attemptEnded decides what follows from the end of a call.
+// attemptEnded decides how a request goes on after its call has ended.
 func (st *reduction) attemptEnded(e AttemptEnded) {
 	r, ok := st.requests.Get(e.Handle)
 	if !ok || r.current.id != e.Attempt {
@@ -116,7 +118,7 @@
 	st.afterFailure(r, e)
 }
 
-// describe is the end with what is known besides.
+// describe returns the end and its detail, if there is one, for the log.
 func (e AttemptEnded) describe() string {
 	if e.Detail == "" {
 		return string(e.End)
@@ -125,7 +127,7 @@
 	return string(e.End) + ": " + e.Detail
 }
 
-// provesNotRun says whether the end proves that the upstream ran nothing.
+// provesNotRun reports whether the end proves that the upstream ran nothing.
 func (e AttemptEnd) provesNotRun() bool {
 	switch e {
 	case EndRefused, EndInputGone, EndMisaddressed, EndUnreachable:
@@ -135,7 +137,7 @@
 	}
 }
 
-// recordAttemptEnd takes in what a call's end says of its upstream.
+// recordAttemptEnd updates the state of an upstream and its zone from the end of a call.
 func (st *reduction) recordAttemptEnd(r request, e AttemptEnded) {
 	id := r.current.upstream.ID
 	st.recordZoneReply(r.current.upstream, e.Silent, e.End != EndUnreachable && e.End != EndSilent && e.End != EndBroken)
@@ -164,7 +166,7 @@
 	st.recordLimit(r.current.upstream, e.Limit, r.current.sentAt)
 }
 
-// recordLoad takes in an upstream's own word on its load, if there is one.
+// recordLoad stores the load that an upstream reported, if it did.
 func (st *reduction) recordLoad(id string, load *Load) {
 	if load != nil {
 		st.fleet = st.fleet.WithLoad(id, load.Running, load.Waiting, st.now)
@@ -172,12 +174,12 @@
 	}
 }
 
-// afterFailure sends the request elsewhere where that is allowed, and else gives up at once.
+// afterFailure sends the request to another upstream where that is allowed, and ends it otherwise.
 func (st *reduction) afterFailure(r request, e AttemptEnded) {
 	ran := !e.End.provesNotRun()
 	switch {
 	case ran && r.atMostOnce():
-		// It may have run. A second hand-over could publish a post twice.
+		// The call may have run. Sending it again could publish a post twice.
 		st.endUnanswered(r, failedRefusal("the call may have run: "+string(e.End)))
 	case r.possibleRuns >= r.maxPossibleRuns():
 		st.endUnanswered(r, failedRefusal("all attempts failed: "+string(e.End)))
@@ -192,7 +194,7 @@
 	}
 }
 
-// refuseRepeat ends a request that may not be sent once more for want of retry budget.
+// refuseRepeat ends a request that may not be sent again because the retry budget is used up.
 func (st *reduction) refuseRepeat(r request) {
 	st.logStep(StepRepeatRefused, r, func(n *LogStep) { n.RepeatOf, n.Budget = r.lastEnd, st.budgetForLog(r.pool) })
 	refusal := notRunRefusal("the retry budget is used up")
@@ -200,7 +202,7 @@
 	st.endUnanswered(r, refusal)
 }
 
-// retry prepares the next call; results that the last one used up are made anew.
+// retry prepares the next call; the stages whose results the last call used up are run again.
 func (st *reduction) retry(r request, e AttemptEnded) {
 	for _, i := range r.Pipeline.Leaves() {
 		resultsGone := e.End == EndInputGone || r.answerBegun
@@ -212,7 +214,8 @@
 	st.advance(r)
 }
 
-// endUnanswered passes an upstream's own failure on, if there is one, or else refuses.
+// endUnanswered delivers an upstream's own failure to the caller if there is one and no part of an
+// answer was sent, and refuses the request otherwise.
 func (st *reduction) endUnanswered(r request, refusal Refusal) {
 	if r.failureAttempt != 0 && !r.answerBegun {
 		st.logStep(StepFailureDelivered, r, func(n *LogStep) { n.Reason = refusal.Reason })
--- a/internal/chuterelay/budget.go
+++ b/internal/chuterelay/budget.go
@@ -8,40 +8,40 @@
 )
 
 const (
-	// collectorSlackShare is the part of a batched pool's slack that is for the collectors, which
-	// queue failed parts again; the rest is for the nodes, which have lost results made again.
+	// collectorSlackShare is the share of a batched pool's slack for the collectors, which queue
+	// failed parts again. The rest is for the nodes, which have lost results made again.
 	collectorSlackShare = 0.5
-	// maxCollectorsPerShard is how many collectors of one shard may be at work while nodes disagree
-	// on the list.
+	// maxCollectorsPerShard is how many collectors of one shard may be at work while nodes
+	// disagree on the list of nodes.
 	maxCollectorsPerShard = 2
-	// startupSlackDivisor is the part of a node's slack that a process leaves to the next one, an eighth,
-	// and leastShared the smallest slack of which it leaves any.
+	// startupSlackDivisor sets the part of a node's slack that a process leaves to the next one,
+	// an eighth. minDividedSlack is the smallest slack of which it leaves any.
 	startupSlackDivisor = 8
 	minDividedSlack     = 4
-	// departedWindows is how many windows a node that left the list keeps its part of the
-	// slack: it serves on for less than one of them, and its last repeats count for another.
+	// departedWindows is how many windows a node that has left the list keeps its share of the
+	// slack: it goes on serving for less than one window, and its last repeats count for another.
 	departedWindows = 2
 )
 
-// BudgetView is a pool's retry budget as one node keeps it.
+// BudgetView describes a pool's retry budget at one node.
 type BudgetView struct {
 	chutebudget.Counts
 
 	Pool string
-	// Collecting says that it is the collector's, for parts that are queued again.
+	// Collecting marks the collector's budget, which pays for parts that are queued again.
 	Collecting bool `json:",omitempty"`
-	// Nodes is the number of nodes among which the slack is divided.
+	// Nodes is the number of nodes that share the slack.
 	Nodes int
 }
 
-// budgetKey names one budget of a pool at this node.
+// budgetKey identifies one budget of a pool at this node.
 type budgetKey struct {
 	pool string
-	// collecting says that it is the collector's.
+	// collecting marks the collector's budget.
 	collecting bool
 }
 
-// budgetKeyHasher hashes keys for the library's map.
+// budgetKeyHasher hashes budgetKeys for immutable.Map.
 type budgetKeyHasher struct{}
 
 func (budgetKeyHasher) Hash(k budgetKey) uint32 {
@@ -52,14 +52,15 @@
 	return a == b
 }
 
-// account is a budget with this node's part of the slack.
+// account is a budget together with this node's share of the slack, in repeats.
 type account struct {
 	budgetKey
 
 	slack int
 }
 
-// nodeAccount pays for relayed calls to a pool, and for lost results that are made again.
+// nodeAccount returns the account for repeated calls to a pool, and for lost results that are made
+// again.
 func (s State) nodeAccount(pool string, now time.Time) account {
 	poolSlack := s.settings.Retries.Slack
 	if s.config.Pools[pool].Batching != nil {
@@ -69,7 +70,7 @@
 	return account{budgetKey: budgetKey{pool: pool}, slack: s.spendableSlack(s.peers.sharers(now).Quota(pool, int(poolSlack)), now)}
 }
 
-// collectorAccount pays for the parts that this node's collector queues again.
+// collectorAccount returns the account for parts that this node's collector queues again.
 func (s State) collectorAccount(pool string, now time.Time) account {
 	collectors := maxCollectorsPerShard
 	if s.fleet.Len(pool, now) > maxUnshardedUpstreams {
@@ -80,11 +81,12 @@
 	return account{budgetKey: budgetKey{pool: pool, collecting: true}, slack: s.spendableSlack(share, now)}
 }
 
-// spendableSlack is what this process may spend of a part of the slack.
+// spendableSlack returns how much of a share of the slack this process may spend.
 //
-// It does not know what the process before it has spent until that no longer counts. Until
-// then it has what each process leaves to the next one, and one repeat before it knows the list
-// of nodes, so that callers of a node that has just started get some repeats.
+// It does not know what the previous process of this node has spent, until those repeats have left
+// the window. Until then it has what each process leaves to the next one, and at least one repeat,
+// also before it knows the list of nodes, so that callers of a node that has just started get some
+// repeats.
 func (s State) spendableSlack(share int, now time.Time) int {
 	startupSlack := max(1, share/startupSlackDivisor)
 	switch {
@@ -99,41 +101,41 @@
 	}
 }
 
-// departedShareTime is how long a node that has left the list keeps its part of the slack.
+// departedShareTime returns how long a node that has left the list keeps its share of the slack.
 func (s State) departedShareTime() time.Duration {
 	return departedWindows * s.settings.Retries.Span()
 }
 
-// countFirstCalls counts first calls.
+// countFirstCalls adds n first calls or parts to a budget.
 func (st *reduction) countFirstCalls(key budgetKey, n int) {
 	budget, _ := st.budgets.Get(key)
 	st.budgets = st.budgets.Set(key, budget.WithFirst(st.settings.Retries, n, st.now))
 }
 
-// countRepeats counts repeats.
+// countRepeats adds n repeats to a budget.
 func (st *reduction) countRepeats(key budgetKey, n int) {
 	budget, _ := st.budgets.Get(key)
 	st.budgets = st.budgets.Set(key, budget.WithSpent(st.settings.Retries, n, st.now))
 }
 
-// repeatsLeft is how many repeats an account allows now.
+// repeatsLeft returns how many repeats an account allows now.
 func (st *reduction) repeatsLeft(a account) int {
 	return st.counts(a, st.now).Left
 }
 
-// counts returns what an account holds.
+// counts returns an account's counts at a time.
 func (s State) counts(a account, now time.Time) chutebudget.Counts {
 	budget, _ := s.budgets.Get(a.budgetKey)
 
 	return budget.Counts(s.settings.Retries, a.slack, now)
 }
 
-// mayRepeat says whether one more repeat may be sent to a pool.
+// mayRepeat reports whether one more repeat may be sent to a pool.
 func (st *reduction) mayRepeat(pool string) bool {
 	return st.repeatsLeft(st.nodeAccount(pool, st.now)) > 0
 }
 
-// nodeBudget returns a pool's retry budget for relayed calls as this node keeps it.
+// nodeBudget returns this node's retry budget for relayed calls to a pool.
 func (s State) nodeBudget(pool string, now time.Time) BudgetView {
 	return s.budgetView(s.nodeAccount(pool, now), now)
 }
@@ -142,7 +144,7 @@
 	return BudgetView{Counts: s.counts(a, now), Pool: a.pool, Collecting: a.collecting, Nodes: s.peers.sharers(now).Len()}
 }
 
-// budgetForLog returns a pool's retry budget for the log.
+// budgetForLog returns a pool's current retry budget for the log.
 func (st *reduction) budgetForLog(pool string) *BudgetView {
 	v := st.nodeBudget(pool, st.now)
 
--- a/internal/chuterelay/callerwait.go
+++ b/internal/chuterelay/callerwait.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	// resentBelow is the part of the usual patience below which a caller is taken for
-	// one that was turned away and has come back: what callers state at first
-	// differs somewhat, and whoever was told to come back has used more.
+	// resentBelow is the share of the longest usual wait below which a caller is assumed to be
+	// resending a refused request. The waits that callers state with a first sending vary
+	// somewhat, and a caller that was told to retry has used up more than that.
 	resentBelow = 0.85
-	// firstSendShare is where first callers lie on average, between that and the longest.
+	// firstSendShare is the average wait of first sendings, halfway between resentBelow and the
+	// longest wait, as a share of the longest.
 	firstSendShare = (1 + resentBelow) / 2
-	// longestWaitDecay is the part of the way from the longest patience heard towards
-	// each shorter one that is forgotten: some hundred requests after callers have
-	// become less patient, that is what is usual.
+	// longestWaitDecay is the part by which the longest wait moves towards each shorter one. Some
+	// hundred requests after callers have begun to wait less, the longest wait has followed.
 	longestWaitDecay = 1.0 / 64
 )
 
-// callerWaits maps a pipeline to the longest time that its callers wait, as they said lately.
+// callerWaits maps a pipeline to the longest wait that its callers have stated recently.
 type callerWaits struct {
 	longest *immutable.Map[string, time.Duration]
 }
@@ -28,7 +28,7 @@
 	return callerWaits{longest: immutable.NewMap[string, time.Duration](nil)}
 }
 
-// with takes in how long one caller waits.
+// with records the wait that one caller has stated; it ignores a wait of 0, which is not stated.
 func (p callerWaits) with(pipeline string, wait time.Duration) callerWaits {
 	if wait <= 0 {
 		return p
@@ -44,10 +44,10 @@
 
 // waitedBefore estimates how long a caller had waited before this sending.
 //
-// Callers count their time down over all their sendings, and an answer is on time
-// only if it is so for the first of them. Taken for new, those that come back in a
-// burst get the places of others that can still be on time, and are late all the
-// same: with a third of all requests turned away once, two in five answers were.
+// Callers count their time down over all sendings of a request, and an answer is on time only if
+// it is so for the first sending. Treated as new, resent requests of a burst take the places of
+// others that can still be on time, and are late all the same: with a third of all requests
+// refused once, two in five answers were late.
 func (p callerWaits) waitedBefore(pipeline string, wait time.Duration) time.Duration {
 	longest, _ := p.longest.Get(pipeline)
 	if wait <= 0 || float64(wait) >= resentBelow*float64(longest) {
--- a/internal/chuterelay/calltimes.go
+++ b/internal/chuterelay/calltimes.go
@@ -8,27 +8,28 @@
 )
 
 const (
-	// minSampleWeight is the weight of the newest call in what is learned: some sixteen
-	// calls, a few seconds of one pipeline's at one node, are what counts.
+	// minSampleWeight is the least weight of the newest call in the averages: about the last
+	// sixteen calls count, which are a few seconds of one pipeline at one node.
 	minSampleWeight = 1.0 / 16
-	// deviationFactor is how many mean deviations a call is expected to take beyond the mean:
-	// with one, about four calls in five take less.
+	// deviationFactor is how many mean deviations a call is expected to take beyond the mean. With
+	// one, about four calls in five take less.
 	deviationFactor = 1.0
 )
 
-// callTimeRatio is how long a pipeline's calls take until their first event, against what
-// the size of their prompts alone lets expect.
+// callTimeRatio is the moving average of the time that a pipeline's calls take until their first
+// event, divided by the time expected from the size of their prompts.
 type callTimeRatio struct {
 	mean      float64
 	deviation float64
 	samples   float64
 }
 
-// with takes in one call.
+// with adds the ratio of one call.
 func (l callTimeRatio) with(ratio float64) callTimeRatio {
 	l.samples++
 	if l.samples == 1 {
-		// Nothing is known of how they vary; half is what retransmission timers begin with.
+		// The variation is unknown after one sample; retransmission timers also start with half of
+		// it.
 		l.mean, l.deviation = ratio, ratio/2
 
 		return l
@@ -40,7 +41,8 @@
 	return l
 }
 
-// factor multiplies what is expected by size; 1 if nothing is known.
+// factor returns the factor by which to multiply the time expected from the prompt's size. It is 1
+// without samples and never more than 1.
 func (l callTimeRatio) factor() float64 {
 	if l.samples == 0 {
 		return 1
@@ -49,7 +51,7 @@
 	return min(1, l.mean+deviationFactor*l.deviation)
 }
 
-// callTimes maps a pipeline to what is learned of its calls.
+// callTimes maps a pipeline to the callTimeRatio of its calls.
 type callTimes struct {
 	ratios *immutable.Map[string, callTimeRatio]
 }
@@ -58,7 +60,7 @@
 	return callTimes{ratios: immutable.NewMap[string, callTimeRatio](nil)}
 }
 
-// with takes in the time that a call took until its first event.
+// with adds the time that a call took until its first event.
 func (t callTimes) with(r request, took time.Duration) callTimes {
 	l, _ := t.ratios.Get(r.Pipeline.Name)
 	t.ratios = t.ratios.Set(r.Pipeline.Name, l.with(float64(took)/float64(r.callTime())))
@@ -66,7 +68,7 @@
 	return t
 }
 
-// expected is the usual time of a request's call until its first event.
+// expected returns the usual time of a request's call until its first event.
 func (t callTimes) expected(r request) time.Duration {
 	l, _ := t.ratios.Get(r.Pipeline.Name)
 
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// queueCheckInterval is how often waiting parts are looked over when no call ends meanwhile.
+	// queueCheckInterval is how often waiting parts are checked when no call ends in the meantime.
 	queueCheckInterval = 20 * time.Millisecond
-	// callTimeoutFactor and callMargin bound a call with parts: one that takes longer
-	// than 2.2 times the expected time and 150 ms is taken as lost, so that parts
-	// on a dead upstream still make their aim elsewhere.
+	// callTimeoutFactor and callTimeoutMargin bound a call with parts: one that takes longer than
+	// 2.2 times its expected time plus 150 ms counts as lost, so that parts on a dead upstream can
+	// still meet their aim elsewhere.
 	callTimeoutFactor = 2.2
 	callTimeoutMargin = 150 * time.Millisecond
-	// slowCallTimeoutFactor is the same for an upstream that is known to be slow, in times
-	// of its own usual time, and assumedSlowness what one is taken for whose calls
-	// were overdue twice in a row: upstreams slow down by four to five times.
+	// slowCallTimeoutFactor is the same for an upstream that is known to be slow, as a multiple of
+	// its own usual time. assumedSlowness is the slowness assumed of an upstream after
+	// overdueCallsUntilSlow overdue calls in a row: upstreams slow down by a factor of four to
+	// five.
 	slowCallTimeoutFactor = 1.5
 	assumedSlowness       = 4
 	overdueCallsUntilSlow = 2
@@ -25,7 +26,7 @@
 	newestSlownessWeight = 0.4
 )
 
-// jobReceived takes a peer's job into the own collector.
+// jobReceived queues a peer's job at this node's collector.
 func (st *reduction) jobReceived(e JobReceived) {
 	if st.draining {
 		st.emit(RejectJob{Token: e.Token, Reason: leavingReason, Leaving: true})
@@ -41,10 +42,11 @@
 	st.queueJob(job)
 }
 
-// drain hands the waiting jobs back, so that whoever asked goes to the next collector at once.
+// drain returns the waiting jobs, so that the nodes that requested them go to the next collector
+// at once.
 //
-// New jobs go to another node from now on, and its calls take the upstreams'
-// slots. Jobs left waiting here would get none until their time is over.
+// New jobs go to another node from now on, and the calls of that node take the upstreams' slots.
+// Jobs left waiting here would get no slot until their time is over.
 func (st *reduction) drain() {
 	st.draining = true
 	st.peers.shuttingDown = true
@@ -69,14 +71,14 @@
 	st.emit(RejectJob{Token: o.token, Reason: leavingReason, Leaving: true})
 }
 
-// leavingReason is why a node that is shutting down does not run a job.
+// leavingReason is the reason why a node that is shutting down does not run a job.
 const leavingReason = "this VM is shutting down"
 
-// queueJob queues a job at the own collector.
+// queueJob adds a job to this node's collector, or rejects it.
 func (st *reduction) queueJob(job chutebatch.Job) {
 	if slices.ContainsFunc(job.InputsAt, st.fleet.HasReplaced) {
-		// Whoever asks has not heard yet that an upstream has started again. A call
-		// would only find the inputs gone.
+		// The requesting node does not know yet that an upstream has restarted. A call would only
+		// find the inputs gone.
 		st.rejectJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartInputGone})
 
 		return
@@ -105,7 +107,7 @@
 	}
 }
 
-// dropJob forgets a job of the own collector and frees its results.
+// dropJob removes a job from this node's collector and frees its results.
 func (st *reduction) dropJob(id uint64) {
 	st.origins = st.origins.Delete(id)
 	var frees []chutebatch.Free
@@ -118,14 +120,14 @@
 	}
 }
 
-// fillAllLanes looks over the waiting parts of all lanes.
+// fillAllLanes fills calls from the waiting parts of all lanes.
 func (st *reduction) fillAllLanes() {
 	for _, lane := range st.collector.Lanes() {
 		st.fillCalls(lane)
 	}
 }
 
-// fillCalls gives free upstreams of a lane calls, as long as parts wait.
+// fillCalls sends calls to free upstreams of a lane as long as parts wait.
 func (st *reduction) fillCalls(lane chutebatch.Lane) {
 	if st.collector.Waiting(lane) == 0 {
 		return
@@ -148,8 +150,8 @@
 
 // laneSeats lists the lane's upstreams that may get calls.
 //
-// A shard whose upstreams are all gone or set aside is served by the others, so
-// that a zone without healthy upstreams of a pool does not fail its requests.
+// A shard whose upstreams are all gone or suspended is served by those of other zones, so that a
+// zone without healthy upstreams of a pool does not fail its requests.
 func (st *reduction) laneSeats(lane chutebatch.Lane) []chutebatch.Seat {
 	var all, inShard, reachable []chutebatch.Seat
 	for _, u := range st.fleet.UsableIn(lane.Pool, st.now) {
@@ -173,7 +175,8 @@
 	return all
 }
 
-// expectedCallTime is the time that the operator's figures give for a call.
+// expectedCallTime returns the time of a call by the operator's configuration, or 0 if the pool
+// has no batching.
 func (st *reduction) expectedCallTime(call chutebatch.Call) time.Duration {
 	b := st.config.Pools[call.Pool].Batching
 	if b == nil {
@@ -183,8 +186,8 @@
 	return b.CallTime + time.Duration(len(call.Parts))*b.PartTime
 }
 
-// callTimeout allows an upstream that is known to be slow the time that it takes;
-// cutting its calls off would only have their parts made twice.
+// callTimeout returns the time limit of a call. An upstream that is known to be slow gets the time
+// it needs: cutting its calls off would only have their parts made twice.
 func (st *reduction) callTimeout(call chutebatch.Call) time.Duration {
 	pace, _ := st.upstreamPaces.Get(call.Upstream)
 	patience := max(callTimeoutFactor, slowCallTimeoutFactor*pace.slowness)
@@ -192,7 +195,7 @@
 	return time.Duration(patience*float64(st.expectedCallTime(call))) + callTimeoutMargin
 }
 
-// callEnded files the results of a call and hands them to whoever asked.
+// callEnded records the results of a call and returns them to the nodes that requested them.
 func (st *reduction) callEnded(e CallEnded) {
 	call, ok := st.collector.Call(e.ID)
 	if !ok {
@@ -212,7 +215,8 @@
 	st.fillCalls(call.Lane)
 }
 
-// settleJobs passes on what became of jobs.
+// settleJobs reports jobs that are done or failed to the nodes that requested them, and frees
+// their results.
 func (st *reduction) settleJobs(ended chutebatch.Ended) {
 	for _, f := range ended.Frees {
 		st.freeOnUpstream(f)
@@ -233,7 +237,7 @@
 	st.fillAllLanes()
 }
 
-// recordCallEnd takes in what a call's end says of its upstream.
+// recordCallEnd updates the state of an upstream from the end of a call with parts.
 func (st *reduction) recordCallEnd(call chutebatch.Call, e CallEnded) {
 	st.fleet = st.fleet.WithDone(call.Upstream)
 	if u, ok := st.fleet.Get(call.Upstream); ok {
@@ -255,18 +259,18 @@
 	st.upstreamPaces = st.upstreamPaces.Set(call.Upstream, pace.with(e, st.expectedCallTime(call)))
 }
 
-// upstreamPace is how quickly an upstream runs calls with parts.
+// upstreamPace tracks how fast an upstream runs calls with parts.
 type upstreamPace struct {
-	// slowness is the measured time against the expected one; 0 if unknown.
+	// slowness is the measured time of calls divided by the expected one; 0 if unknown.
 	slowness float64
 	// overdue counts the calls in a row that did not end in time.
 	overdue int
 }
 
-// with takes in the end of one call.
+// with adds the end of one call.
 //
-// A lost answer and a slow call look alike when time is up. One of them says
-// little; two in a row are taken for slowness, and the next answer tells.
+// A lost answer and a slow call look the same at the timeout. One of them says little; after two
+// in a row the upstream is assumed to be slow, and its next answer gives the measured slowness.
 func (p upstreamPace) with(e CallEnded, expected time.Duration) upstreamPace {
 	switch {
 	case expected <= 0 || e.End == chutebatch.CallRefused:
@@ -287,7 +291,7 @@
 	return upstreamPace{slowness: ratio}
 }
 
-// returnResults hands a job's results to the request or the peer that asked.
+// returnResults passes a job's results to the request or peer that the job is for.
 func (st *reduction) returnResults(id uint64) {
 	o, ok := st.origins.Get(id)
 	if !ok {
@@ -303,7 +307,7 @@
 	st.emit(ReturnResults{Token: o.token, Results: results, Wait: wait, OverShare: overShare, Loads: st.crowdedUpstreams()})
 }
 
-// rejectJob tells whoever asked that a job failed.
+// rejectJob reports to the request or peer that a job failed.
 func (st *reduction) rejectJob(failed chutebatch.FailedJob) {
 	wait, overShare := time.Duration(0), false
 	if failed.Job.Pool != "" {
--- a/internal/chuterelay/effect.go
+++ b/internal/chuterelay/effect.go
@@ -8,45 +8,47 @@
 	"azurechute.example/azurechute/internal/chutequarantine"
 )
 
-// Effect is something for the node to do, as data; effects are carried out in order.
+// Effect is an action for the node to carry out, as data. Effects are carried out in order.
 type Effect interface {
 	relayEffect()
 }
 
-// SetDeadline asks for a DeadlinePassed event.
+// SetDeadline schedules a DeadlinePassed event.
 type SetDeadline struct {
 	Handle uint64
 	At     time.Time
 }
 
-// Send hands a request to an upstream.
+// Send sends a request to an upstream.
 type Send struct {
 	Handle    uint64
 	Attempt   uint64
 	Upstream  chutefleet.Upstream
 	Workspace string
 	Deadline  time.Time
-	// Inputs are the stages' results that the upstream fetches.
+	// Inputs are the references of stage results that the upstream fetches.
 	Inputs []string
-	// Resume goes on after the last event that the caller has.
+	// Resume continues after the last event that the caller has.
 	Resume bool
-	// FreshConnection asks for a connection that was never used, so that no old one can lose an unrepeatable call.
+	// FreshConnection demands a connection that was never used, since a stale one could lose an
+	// unrepeatable call.
 	FreshConnection bool
-	// Replaceable says that another upstream may take over: a silent one is asked
-	// whether it still accepts connections, and given up if not.
+	// Replaceable says that another upstream may take over. While a replaceable call is silent,
+	// the upstream is probed for whether it still accepts connections, and the call is given up if
+	// not.
 	Replaceable bool
-	// Streams says that events are passed on as they come.
+	// Streams says that events are passed on as they arrive.
 	Streams  bool
 	Priority int
 }
 
-// CancelSend ends an attempt whose answer nobody needs.
+// CancelSend ends an attempt whose answer is not needed any more.
 type CancelSend struct {
 	Handle  uint64
 	Attempt uint64
 }
 
-// Deliver gives the caller what the attempt answered, or ends its stream as complete.
+// Deliver passes the attempt's answer to the caller, or ends its stream as complete.
 type Deliver struct {
 	Handle  uint64
 	Attempt uint64
@@ -58,17 +60,17 @@
 	Refusal Refusal
 }
 
-// Forget drops what the node keeps of a request.
+// Forget drops the node's record of a request.
 type Forget struct {
 	Handle uint64
 }
 
-// RequestJob asks a peer's collector for a job.
+// RequestJob requests a job from a peer's collector.
 type RequestJob struct {
 	JobRequestID uint64
 	Peer         Peer
 	Job          chutebatch.Job
-	// Loads are what this node has heard of upstreams' loads.
+	// Loads are upstream loads that this node has learned since its last job request.
 	Loads []chutefleet.LoadReport
 }
 
@@ -77,39 +79,39 @@
 	JobRequestID uint64
 }
 
-// ReturnResults answers a peer's job.
+// ReturnResults answers a peer's job with its results.
 type ReturnResults struct {
 	Token   uint64
 	Results []chutebatch.Result
-	// Wait is how long a job of the same kind would wait here now; Beyond says that this
-	// holds for its workspace alone, which is beyond its share.
+	// Wait is how long a job of the same kind would wait here now. OverShare says that this holds
+	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads are those of crowded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// RejectJob tells a peer that its job brings no results.
+// RejectJob tells a peer that its job yields no results.
 type RejectJob struct {
 	Token   uint64
 	Reason  string
 	Leaving bool
-	// Wait is how long a job of the same kind would wait here now; Beyond says that this
-	// holds for its workspace alone, which is beyond its share.
+	// Wait is how long a job of the same kind would wait here now. OverShare says that this holds
+	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads are those of crowded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// RunCall hands a batch of parts to an upstream.
+// RunCall sends a batch of parts to an upstream.
 type RunCall struct {
 	Call     chutebatch.Call
 	Upstream chutefleet.Upstream
 	Timeout  time.Duration
 }
 
-// FreeResults tells an upstream which results nobody needs.
+// FreeResults tells an upstream which results are not needed any more.
 type FreeResults struct {
 	Upstream chutefleet.Upstream
 	Refs     []string
@@ -120,27 +122,27 @@
 	Address string
 }
 
-// Probe asks, at a time, whether an upstream accepts connections.
+// Probe checks, at a time, whether an upstream accepts connections.
 type Probe struct {
 	Upstream chutefleet.Upstream
 	At       time.Time
 }
 
-// LogZone tells that another zone is taken for cut off, or was heard from again.
+// LogZone logs that another zone is considered cut off, or has replied again.
 type LogZone struct {
 	Zone   string
 	CutOff bool
-	// Silent are the parties that proved it.
+	// Silent are the nodes and upstreams whose silence was the evidence.
 	Silent []string
 }
 
-// LogEvacuation tells that a zone is evacuated from now on, or taken back.
+// LogEvacuation logs that a zone is evacuated from now on, or not any more.
 type LogEvacuation struct {
 	Zone      string
 	Evacuated bool
 }
 
-// TickAt asks for a Ticked event.
+// TickAt schedules a Ticked event.
 type TickAt struct {
 	At time.Time
 }
@@ -155,7 +157,7 @@
 	Wasted    bool
 }
 
-// AnnounceCrash tells the other nodes of an upstream's end that this node saw.
+// AnnounceCrash tells the other nodes of an upstream's crash that this node observed.
 type AnnounceCrash struct {
 	Crash chutequarantine.Crash
 }
@@ -165,28 +167,29 @@
 	Judgement chutequarantine.Judgement
 }
 
-// LogCrash is an upstream's end with the requests that this node had there, for the log.
+// LogCrash logs an upstream's crash with the requests that this node had there.
 type LogCrash struct {
 	Crash chutequarantine.Crash
 	// Evidence is what showed that the process has ended.
 	Evidence string
 }
 
-// LogJudgement is a judgement that this node has come to or heard of, for the log.
+// LogJudgement logs a judgement that this node has reached or, if Announced, received from another
+// one.
 type LogJudgement struct {
 	Judgement chutequarantine.Judgement
 	Announced bool
 }
 
-// LogUpstreamLimit is a change of what an upstream says of the requests that it takes, for the log.
+// LogUpstreamLimit logs a change of the rate of requests that an upstream accepts.
 type LogUpstreamLimit struct {
 	Upstream chutefleet.Upstream
-	// Limited says that it names a limit by now.
+	// Limited says that the upstream has a limit now.
 	Limited bool
 	Limit   chutefleet.Limit
-	// Unreadable is its word if that is no rate.
+	// Unreadable is the upstream's own text for the limit, if that is not a rate.
 	Unreadable string
-	// Teller is the node that told of it; empty if an answer to this one did.
+	// Teller is the node that announced the limit; empty if an answer to this node named it.
 	Teller string
 }
 
@@ -195,7 +198,7 @@
 	Limit chutefleet.LimitWord
 }
 
-// JudgeAt asks for a JudgeDue event.
+// JudgeAt schedules a JudgeDue event.
 type JudgeAt struct {
 	At time.Time
 }
--- a/internal/chuterelay/evacuate.go
+++ b/internal/chuterelay/evacuate.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// setEvacuatedZones takes in which zones the operator has evacuated.
+// setEvacuatedZones applies the list of zones that the operator has evacuated.
 //
-// Nothing new goes to their upstreams from now on: no call, no part, no repeat, no resumed
-// stream, no probe, and no word that results may go, which run out by themselves. What runs
-// there goes on: its callers get their answers. Parts that wait go to other zones at once,
-// and results that lie in the zone are still fetched by upstreams outside it.
+// Nothing new goes to their upstreams from now on: no call, part, repeat, resumed stream or probe,
+// and no message to free results, which expire by themselves. What runs there continues, and its
+// callers get their answers. Waiting parts go to other zones at once, and results in the zone are
+// still fetched by upstreams outside it.
 func (st *reduction) setEvacuatedZones(zones []string) {
 	before := st.fleet.EvacuatedZones()
 	st.fleet = st.fleet.WithEvacuated(zones, st.now)
@@ -25,7 +25,8 @@
 	st.fillAllLanes()
 }
 
-// refuseUnservable refuses the requests that no upstream has got yet and none is left for.
+// refuseUnservable refuses the requests that were not sent to any upstream and for which no
+// upstream is left.
 func (st *reduction) refuseUnservable() {
 	for i := st.requests.Iterator(); !i.Done(); {
 		_, r, _ := i.Next()
@@ -38,7 +39,7 @@
 	}
 }
 
-// placementZone returns the zone, or the own one in place of one where nothing can be placed.
+// placementZone returns the zone, or this node's zone if nothing can be placed there.
 func (st *reduction) placementZone(zone string) string {
 	if st.fleet.Evacuated(zone) {
 		return st.zoneSilence.own
@@ -47,10 +48,11 @@
 	return st.zoneSilence.reachableOrOwn(zone, st.now)
 }
 
-// poolWithoutUpstreams says which of a request's pools has no upstream to run it; empty if all have some.
+// poolWithoutUpstreams returns a pool of the request that has no upstream to run it, or an empty
+// string if all have some.
 //
-// With a stage's pool gone, the request would wait in a queue that nobody empties until its
-// caller leaves.
+// With no upstream in a stage's pool, the request would wait in a queue that is never served until
+// its caller leaves.
 func (st *reduction) poolWithoutUpstreams(r request) string {
 	if st.fleet.Empty(r.pool, st.now) {
 		return r.pool
@@ -64,10 +66,10 @@
 	return ""
 }
 
-// noUpstreamRefusal is the refusal of a request whose pool has no upstream.
+// noUpstreamRefusal refuses a request whose pool has no upstream.
 func (st *reduction) noUpstreamRefusal(pool string) Refusal {
 	if zones := st.fleet.EvacuatedZones(); len(zones) > 0 {
-		// An evacuation lasts: whoever comes back sooner meets it again.
+		// An evacuation lasts: a caller that retries sooner would be refused again.
 		return Refusal{
 			Kind: RefusedNotRun, Reason: "no upstream of pool " + pool + " is left outside the evacuated zones",
 			RetryAfter: overloadRetryAfter,
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -9,30 +9,31 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// Event is something that happened to relayed requests or to what they run on.
+// Event is something that happened to relayed requests or to the nodes and upstreams they use.
 type Event interface {
 	relayEvent()
 }
 
-// Submission is a checked request as the front door hands it over.
+// Submission is a validated request as the ingress passes it on.
 type Submission struct {
-	// Handle is unique to this process.
+	// Handle is unique in this process.
 	Handle uint64
-	// ID is the caller's name for this sending; upstreams see it too.
+	// ID is the caller's id of this sending; upstreams see it too.
 	ID string
 	// Fingerprint is the same for all sendings of one request, whatever their IDs.
 	Fingerprint string
 	Pipeline    chuteroute.Pipeline
 	Workspace   chuteroute.Workspace
-	// Affinity names the prompt part that other requests share; empty if there is none.
+	// Affinity identifies the part of the prompt that other requests share; empty if there is
+	// none.
 	Affinity     string
 	PromptTokens int64
-	// Parts is the number of parts of each stage; 0 leaves a stage out.
+	// Parts is the number of parts of each stage; a stage with 0 parts is skipped.
 	Parts []int
-	// PartKey names the input of the first stages.
+	// PartKey identifies the input of the first stages.
 	PartKey  string
 	Deadline time.Time
-	// CallerWait is how long the caller said that it waits; 0 if it did not say.
+	// CallerWait is how long the caller said that it waits for the answer; 0 if it did not say.
 	CallerWait time.Duration
 }
 
@@ -41,18 +42,20 @@
 	Config chuteroute.Config
 }
 
-// UpstreamsListed reports the platform's whole list; Hold keeps those that are missing from it.
+// UpstreamsListed reports the platform's whole list of upstreams; with Hold, those missing from it
+// are kept.
 type UpstreamsListed struct {
 	Upstreams []chutefleet.Upstream
 	Hold      bool
 }
 
-// ZonesEvacuated reports all zones to whose upstreams the operator wants nothing sent.
+// ZonesEvacuated reports all zones that the operator has evacuated: nothing is sent to their
+// upstreams.
 type ZonesEvacuated struct {
 	Zones []string
 }
 
-// PeersListed reports all nodes, this one included.
+// PeersListed reports all nodes, including this one.
 type PeersListed struct {
 	Peers []Peer
 }
@@ -62,7 +65,7 @@
 	Submission
 }
 
-// CallerLeft reports that nobody waits for the answer any more.
+// CallerLeft reports that the caller does not wait for the answer any more.
 type CallerLeft struct {
 	Handle uint64
 }
@@ -72,43 +75,44 @@
 	Handle uint64
 }
 
-// JobDone reports that a peer's collector has all results of an ask.
+// JobDone reports that a peer's collector has all results of a requested job.
 type JobDone struct {
 	JobRequestID uint64
 	Results      []chutebatch.Result
-	// Wait is how long a job of the same kind would wait there now; Beyond says that this
-	// holds for its workspace alone, which is beyond its share.
+	// Wait is how long a job of the same kind would wait there now. OverShare says that this holds
+	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads are those of crowded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// JobFailed reports that an ask brought no results.
+// JobFailed reports that a requested job yielded no results.
 type JobFailed struct {
 	JobRequestID uint64
-	// PeerLost says that the peer itself is gone, leaving or silent, PeerSilent that
+	// PeerLost says that the peer itself is gone, shutting down or silent. PeerSilent says that
 	// nothing came back from it.
 	PeerLost   bool
 	PeerSilent bool
 	Reason     string
-	// Wait is how long a job of the same kind would wait there now; Beyond says that this
-	// holds for its workspace alone, which is beyond its share.
+	// Wait is how long a job of the same kind would wait there now. OverShare says that this holds
+	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads are those of crowded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// JobReceived reports that a peer asks this node's collector for a job; Token names it in effects.
+// JobReceived reports that a peer requests a job from this node's collector; Token identifies the
+// job in effects.
 type JobReceived struct {
 	Token uint64
 	Job   chutebatch.Job
-	// Loads are what the peer has heard of upstreams' loads.
+	// Loads are upstream loads that the peer has learned.
 	Loads []chutefleet.LoadReport
 }
 
-// JobCancelled reports that a peer needs a job, or its results, no longer.
+// JobCancelled reports that a peer does not need a job or its results any more.
 type JobCancelled struct {
 	Token uint64
 }
@@ -126,7 +130,7 @@
 	Leaving bool
 	// UpstreamEnded says that the upstream's process has ended, not just the connection.
 	UpstreamEnded bool
-	// Limit is the upstream's word on the requests that it takes; nil if it has none.
+	// Limit is what the upstream reported of the requests that it accepts; nil if nothing.
 	Limit *Limit
 }
 
@@ -134,9 +138,9 @@
 type AttemptBegan struct {
 	Handle  uint64
 	Attempt uint64
-	// Load is the upstream's own word on its load, or nil.
+	// Load is the load that the upstream reported; nil if none.
 	Load *Load
-	// Limit is the upstream's word on the requests that it takes; nil if it has none.
+	// Limit is what the upstream reported of the requests that it accepts; nil if nothing.
 	Limit *Limit
 }
 
@@ -145,21 +149,21 @@
 
 // The ends of a relayed call.
 const (
-	// EndAnswered: a whole, checked answer of the upstream.
+	// EndAnswered: a complete, verified answer of the upstream.
 	EndAnswered AttemptEnd = "Answered"
-	// EndErrored: a whole answer by which the upstream says that it failed.
+	// EndErrored: a complete answer in which the upstream reports that it failed.
 	EndErrored AttemptEnd = "Errored"
-	// EndRefused: the upstream says that it did not run the call.
+	// EndRefused: the upstream reports that it did not run the call.
 	EndRefused AttemptEnd = "Refused"
-	// EndInputGone: it did not run because a stage's result is gone.
+	// EndInputGone: the upstream did not run the call because a stage's result is gone.
 	EndInputGone AttemptEnd = "InputGone"
-	// EndMisaddressed: another incarnation or service has the address; it did not run.
+	// EndMisaddressed: another incarnation or service has the address; the call did not run.
 	EndMisaddressed AttemptEnd = "Misaddressed"
-	// EndUnreachable: no byte of the request went out.
+	// EndUnreachable: no byte of the request was sent.
 	EndUnreachable AttemptEnd = "Unreachable"
-	// EndBroken: the connection broke, or the answer was not one; the call may have run.
+	// EndBroken: the connection broke or the answer was malformed; the call may have run.
 	EndBroken AttemptEnd = "Broken"
-	// EndSilent: no sign of life; the call may have run.
+	// EndSilent: the upstream did not reply at all; the call may have run.
 	EndSilent AttemptEnd = "Silent"
 )
 
@@ -172,32 +176,34 @@
 	HasAnswer bool
 	// Silent says that nothing came back, not even a refused connection.
 	Silent bool
-	// Events counts the events that went to the caller in this attempt.
+	// Events counts the events sent to the caller in this attempt.
 	Events  int
 	Leaving bool
 	// UpstreamEnded says that the upstream's process has ended, not just the connection.
 	UpstreamEnded bool
 	Load          *Load
-	// Cold is how much longer the upstream says that it stays cold; 0 if it does not say.
+	// Cold is how much longer the upstream reports to stay cold; 0 if it does not say.
 	Cold time.Duration
-	// Limit is the upstream's word on the requests that it takes; nil if it has none.
+	// Limit is what the upstream reported of the requests that it accepts; nil if nothing.
 	Limit *Limit
-	// Detail is what the log shows of a failure.
+	// Detail describes a failure for the log.
 	Detail string
 }
 
-// Load is an upstream's word on its load.
+// Load is an upstream's own report of its load, in calls.
 type Load struct {
 	Running int
 	Waiting int
 }
 
-// Limit is what an answer says of the requests a second that its upstream takes from all nodes together.
+// Limit is what an answer reports of the requests per second that its upstream accepts from all
+// nodes together.
 type Limit struct {
-	// Named says that it names a limit; an answer that names none says that there is none.
+	// Named says that the answer names a limit. An answer that names none means that there is
+	// none.
 	Named     bool
 	PerSecond float64
-	// Unreadable is a word that is no rate.
+	// Unreadable is the reported text if it is not a rate.
 	Unreadable string
 }
 
@@ -207,12 +213,12 @@
 	Alive    bool
 }
 
-// LimitsAnnounced reports what other nodes tell of upstreams' limits.
+// LimitsAnnounced reports the limits of upstreams that other nodes have announced.
 type LimitsAnnounced struct {
 	Limits []chutefleet.LimitWord
 }
 
-// QuarantineAnnounced reports what other nodes tell of crashes and judgements.
+// QuarantineAnnounced reports the crashes and judgements that other nodes have announced.
 type QuarantineAnnounced struct {
 	Crashes    []chutequarantine.Crash
 	Judgements []chutequarantine.Judgement
@@ -221,13 +227,13 @@
 // JudgeDue reports that crashes can be judged.
 type JudgeDue struct{}
 
-// DrainStarted reports that the process was asked to end.
+// DrainStarted reports that the process was told to end.
 type DrainStarted struct{}
 
 // DrainEnding reports that the process ends soon.
 type DrainEnding struct{}
 
-// Ticked reports that waiting parts should be looked over.
+// Ticked reports that waiting parts should be checked.
 type Ticked struct{}
 
 func (ConfigAdopted) relayEvent()       {}
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -10,36 +10,38 @@
 )
 
 const (
-	// unreadableLimitRate is the rate, a second, that counts for an upstream that names a limit for
-	// the first time and in a way that can't be read: it is in need.
+	// unreadableLimitRate is the rate, in requests per second, assumed for an upstream whose first
+	// limit can't be read: an upstream that names a limit is short of capacity.
 	unreadableLimitRate = 1.0
-	// limitAnnounceInterval is the least time between two words of this node on one upstream's limit,
-	// and tellLimitStep the part by which it has to change: an upstream may name another
-	// one in each answer.
+	// limitAnnounceInterval is the least time between two announcements of this node about one
+	// upstream's limit. minLimitChange is the relative change that is announced. An upstream may
+	// name another limit in each answer.
 	limitAnnounceInterval = time.Second
 	minLimitChange        = 0.25
-	// maxLimitRetryAfter bounds the time after which a caller comes back to a pool whose upstreams
-	// are at their limits: by then other nodes may send again what they own of them.
+	// maxLimitRetryAfter bounds the retry delay for a pool whose upstreams are at their limits:
+	// within that time other nodes may have sent again what their shares of the limits allow.
 	maxLimitRetryAfter = 2 * time.Second
-	// maxAnnouncedLimits bounds the words that are remembered; beyond, all are forgotten and told anew.
+	// maxAnnouncedLimits bounds the announced limits that are remembered; above it, all are
+	// forgotten and announced anew.
 	maxAnnouncedLimits = 8192
 )
 
-// announcedLimit is a word on an upstream's limit and when it was told or heard.
+// announcedLimit is an announced limit of an upstream and when it was sent or received.
 type announcedLimit struct {
 	chutefleet.LimitWord
 
 	at time.Time
 }
 
-// recordLimit takes in what the answer to a call says of its upstream's limit.
+// recordLimit updates an upstream's limit from the answer to a call.
 func (st *reduction) recordLimit(u chutefleet.Upstream, limit *Limit, sentAt time.Time) {
 	if limit == nil {
 		return
 	}
 	before, limited := st.fleet.Limit(u.ID)
 	if limited || limit.Named {
-		// Nodes that have left the list lose their part some time after that.
+		// Nodes that have left the list lose their share some time later, so the sharers are
+		// updated here.
 		st.fleet = st.fleet.WithSharers(st.peers.sharers(st.now))
 	}
 	switch {
@@ -63,11 +65,12 @@
 	}
 }
 
-// announceLimit tells the other nodes of an upstream's limit, if it differs from the last word on it.
+// announceLimit tells the other nodes of an upstream's limit, if it differs from the last
+// announcement.
 //
-// A node learns of a limit from answers only. Without a word from others each of hundreds sends
-// an upstream in need one call to find out, and those that send it nothing take the limit for
-// lasting when it is over.
+// A node learns of a limit from answers only. Without announcements each of hundreds of nodes
+// sends a limited upstream one call to find out, and nodes that send it nothing do not learn that
+// the limit is over.
 func (st *reduction) announceLimit(u chutefleet.Upstream) {
 	limit, limited := st.fleet.Limit(u.ID)
 	last, announced := st.announcedLimits.Get(u.ID)
@@ -89,7 +92,7 @@
 	st.announcedLimits = st.announcedLimits.Set(limit.Upstream, announcedLimit{LimitWord: limit, at: st.now})
 }
 
-// limitsAnnounced takes in what other nodes tell of upstreams' limits.
+// limitsAnnounced applies the limits that other nodes have announced.
 func (st *reduction) limitsAnnounced(limits []chutefleet.LimitWord) {
 	for _, limit := range limits {
 		if limit.Teller == st.settings.Self.Name {
@@ -100,7 +103,7 @@
 	}
 }
 
-// applyAnnouncedLimit takes in a word on the limit of an upstream, if that is listed.
+// applyAnnouncedLimit applies an announced limit, if its upstream is listed.
 func (st *reduction) applyAnnouncedLimit(limit chutefleet.LimitWord) {
 	u, listed := st.fleet.Get(limit.Upstream)
 	if !listed {
@@ -115,7 +118,8 @@
 	st.logLimitChange(u, before, limited, LogUpstreamLimit{Teller: limit.Teller})
 }
 
-// applyLimitsOfNewUpstreams takes in what was told of the limits of upstreams that were not listed before.
+// applyLimitsOfNewUpstreams applies the remembered limits of upstreams that were not listed
+// before.
 func (st *reduction) applyLimitsOfNewUpstreams(before chutefleet.Fleet) {
 	for i := st.announcedLimits.Iterator(); !i.Done(); {
 		id, announced, _ := i.Next()
@@ -125,8 +129,9 @@
 	}
 }
 
-// limitedWhenStagesDone says whether all upstreams of the request's pool will be at their limits, as far as
-// this node may send them calls, when its stages are done: what those made would be for nothing.
+// limitedWhenStagesDone reports whether all upstreams of the request's pool will still be at this
+// node's share of their limits when the request's stages are done. The stages would then run for
+// nothing.
 func (st *reduction) limitedWhenStagesDone(r request) bool {
 	availableAt, limited := st.fleet.OpensAt(r.pool, st.now)
 	stagesTime := time.Duration(0)
@@ -139,8 +144,9 @@
 	return limited && availableAt.After(st.now.Add(stagesTime))
 }
 
-// noUsableUpstreamRefusal refuses a request for want of an upstream. Where only limits are in the way, its caller
-// may come back when this node may send the next call; another node may have one left.
+// noUsableUpstreamRefusal refuses a request because no upstream can be used. If limits are the
+// only reason, the caller may retry when this node may send the next call; another node may have
+// calls left.
 func (st *reduction) noUsableUpstreamRefusal(pool string) Refusal {
 	refusal := notRunRefusal("no upstream of pool " + pool + " can be used now: " + st.fleet.Barred(pool, st.now))
 	if availableAt, limited := st.fleet.OpensAt(pool, st.now); limited {
--- a/internal/chuterelay/loads.go
+++ b/internal/chuterelay/loads.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// maxPendingLoads bounds the upstreams whose loads are told with the next job; a node hears
+	// maxPendingLoads bounds the upstreams whose loads are sent with the next job. A node learns
 	// of one to three between two jobs.
 	maxPendingLoads = 8
-	// crowdedTTL is how long the list of crowded upstreams is told again: a look at
-	// hundreds of upstreams for each of hundreds of jobs a second would cost more than it
-	// tells.
+	// crowdedTTL is how long the list of crowded upstreams is reused: checking hundreds of
+	// upstreams for each of hundreds of jobs a second would cost more than the fresher list is
+	// worth.
 	crowdedTTL = 100 * time.Millisecond
 )
 
-// loadReports is what this node passes on of upstreams' loads.
+// loadReports holds the upstream loads that this node passes on to others.
 //
-// Hundreds of nodes send a pool's upstreams one call each in seconds, so none of them
-// knows the loads. A zone's collector hears from all nodes of its zone many times a
-// second: jobs bring it what they have heard, and its answers name who is crowded.
+// Hundreds of nodes each send a pool's upstreams one call every few seconds, so none of them knows
+// the loads. A zone's collector hears from all nodes of its zone many times a second: jobs carry
+// the loads that their nodes have learned, and its answers name the crowded upstreams.
 type loadReports struct {
-	// pending are the upstreams that were heard of since the last job for a peer.
+	// pending are the upstreams that have reported a load since the last job for a peer.
 	pending []string
-	// crowded was worked out at a time; it is replaced, never changed.
+	// crowded was computed at crowdedAt. The slice is replaced, never modified.
 	crowded   []chutefleet.LoadReport
 	crowdedAt time.Time
 }
 
-// withPending notes that an upstream has told its load.
+// withPending adds an upstream that has reported its load.
 func (l loadReports) withPending(id string) loadReports {
 	if len(l.pending) < maxPendingLoads && !slices.Contains(l.pending, id) {
 		l.pending = append(slices.Clone(l.pending), id)
@@ -39,7 +39,7 @@
 	return l
 }
 
-// takePendingLoads returns what was heard since the last job for a peer.
+// takePendingLoads returns and clears the loads learned since the last job for a peer.
 func (st *reduction) takePendingLoads() []chutefleet.LoadReport {
 	var reports []chutefleet.LoadReport
 	for _, id := range st.loadReports.pending {
@@ -52,14 +52,15 @@
 	return reports
 }
 
-// applyLoads takes in what another node tells of loads.
+// applyLoads applies the loads that another node has sent.
 func (st *reduction) applyLoads(reports []chutefleet.LoadReport) {
 	for _, r := range reports {
 		st.fleet = st.fleet.WithReport(r, st.now)
 	}
 }
 
-// crowdedUpstreams returns the loads of the engines that have too many calls for prompts to stay there.
+// crowdedUpstreams returns the loads of the engines that have too many calls for prompts to stay
+// there.
 func (st *reduction) crowdedUpstreams() []chutefleet.LoadReport {
 	if !st.loadReports.crowdedAt.IsZero() && st.now.Sub(st.loadReports.crowdedAt) < crowdedTTL {
 		return st.loadReports.crowded
--- a/internal/chuterelay/logstep.go
+++ b/internal/chuterelay/logstep.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Step names a decision on a request.
+// Step names a step in the processing of a request.
 type Step string
 
-// The decisions that are noted; docs/OPERATIONS.md tells how to read them.
+// The steps that are logged; docs/OPERATIONS.md explains how to read them.
 const (
 	StepAdmitted       Step = "admitted"
 	StepRefused        Step = "refused"
@@ -16,58 +16,60 @@
 	StepAnswerBegun    Step = "began"
 	StepCallFailed     Step = "call failed"
 	StepAnswered       Step = "answered"
-	// StepFailureDelivered: the caller got the upstream's own word that it failed.
+	// StepFailureDelivered: the caller got the upstream's own answer that it failed.
 	StepFailureDelivered Step = "answered with failure"
 	StepCancelled        Step = "cancelled"
-	// StepRepeatRefused: the call is not sent once more, for want of retry budget.
+	// StepRepeatRefused: the call is not sent again because the retry budget is used up.
 	StepRepeatRefused Step = "repeat refused"
 )
 
-// LogStep tells of one decision with what decided it, for the log.
+// LogStep records one step of a request, and what decided it, in the log and the metrics.
 type LogStep struct {
 	Step    Step
 	Request string
-	// Fingerprint is that of the request where it is admitted or refused, and where a call
-	// of it failed.
+	// Fingerprint is that of the request. It is set when the request is admitted or refused, and
+	// when a call of it failed.
 	Fingerprint string
-	// Workspace is whose request it is; empty if the pipeline takes no keys.
+	// Workspace is the request's workspace; empty if the pipeline takes no keys.
 	Workspace string
 	// Pipeline and Pool name what the request runs on.
 	Pipeline string
 	Pool     string
 	// Stage is the stage's index, or -1 for the relayed call.
 	Stage int
-	// Parts is the number of parts of a stage that is asked for or made.
+	// Parts is the number of parts of a stage that is done.
 	Parts int
-	// Aim is the time from now on until the request should be answered, when it is admitted.
+	// Aim is the time from now until the request should be answered. It is set when the request is
+	// admitted.
 	Aim time.Duration
 	// Attempt numbers the sends of the request from 1.
 	Attempt int
-	// Upstream is the incarnation, Peer its address or the node that was asked.
+	// Upstream is the upstream's incarnation. Peer is its address, or the node that the stage was
+	// requested from.
 	Upstream string
 	Peer     string
 	Zone     string
-	// Evacuated are the zones that get nothing, when the request is admitted.
+	// Evacuated are the zones to which nothing is sent. It is set when the request is admitted.
 	Evacuated []string
-	// Age is the time since the request arrived, Left the time until its deadline.
+	// Age is the time since the request arrived. Left is the time until its deadline.
 	Age  time.Duration
 	Left time.Duration
-	// Waited is how long the caller is believed to have waited before this sending.
+	// Waited is the estimate of how long the caller had waited before this sending.
 	Waited time.Duration
-	// Wait is the expected wait that counted in the decision.
+	// Wait is the expected wait that the step was based on, or the retry delay of a refusal.
 	Wait   time.Duration
 	Reason string
-	// RepeatOf is how the call before ended, where a call is sent once more.
+	// RepeatOf is how the previous call ended, if a call is sent again.
 	RepeatOf AttemptEnd
-	// Budget is the pool's retry budget, where it allowed a repeat or refused one.
+	// Budget is the pool's retry budget, if it allowed or refused a repeat.
 	Budget *BudgetView
-	// Version is the configuration's that was in force.
+	// Version is that of the configuration in force.
 	Version uint64
 }
 
 func (LogStep) relayEffect() {}
 
-// logStep tells of a decision on a request; fill sets what is particular to it.
+// logStep emits a step of a request; setDetails sets the fields that are particular to it.
 func (st *reduction) logStep(step Step, r request, setDetails func(n *LogStep)) {
 	n := LogStep{
 		Step: step, Request: r.ID, Workspace: r.Workspace.Name, Pipeline: r.Pipeline.Name, Pool: r.pool, Stage: -1, Attempt: r.sends,
--- a/internal/chuterelay/peers.go
+++ b/internal/chuterelay/peers.go
@@ -12,13 +12,14 @@
 )
 
 const (
-	// minPeerPause is how long a lost peer is passed over at first. The pause doubles up to
-	// longestPeerPause each time it is lost again: asking it costs one ask its patience, a
-	// frozen or cut off node is back in seconds, and one whose VM is gone stays on the list.
+	// minPeerPause is how long a lost peer is skipped at first. The pause doubles up to
+	// maxPeerPause each time the peer is lost again: a job request to a lost peer costs its whole
+	// timeout, a frozen or cut off node is back in seconds, and one whose VM is gone stays on the
+	// list.
 	minPeerPause = 2 * time.Second
 	maxPeerPause = 32 * time.Second
-	// minSilentPeers is how many peers of a zone have to be mute, with none heard since, until
-	// the others of the zone are passed over too.
+	// minSilentPeers is how many peers of a zone have to be silent, without a reply from them
+	// since, until the others of the zone are skipped too.
 	minSilentPeers = 2
 )
 
@@ -26,37 +27,37 @@
 type Peer struct {
 	Name string
 	Zone string
-	// Region is empty for nodes of older software.
+	// Region is empty for nodes with older software.
 	Region  string
 	Address string
 	// Incarnation changes with each start of the process.
 	Incarnation string
-	// Power is the VM's strength in cores, or less where its link is what binds.
+	// Power is the capacity of the VM in cores, or less where its network link is the bottleneck.
 	Power float64
 }
 
-// lostPeer is what is known of a peer that was lost and not heard of since.
+// lostPeer describes a peer that was lost and has not replied since.
 type lostPeer struct {
-	// until is when it may be asked again, after a pause.
+	// until is the end of the pause in which the peer is skipped.
 	until time.Time
 	pause time.Duration
 	// silent says that nothing came back from it, not even a refused connection.
 	silent bool
 }
 
-// peers is the list of nodes with this node's evidence on them.
+// peers is the list of nodes and what this node knows of their failures.
 type peers struct {
 	self Peer
 	all  []Peer
 	lost map[string]lostPeer
-	// leftNodes are the nodes that have left the list, with the time until which they keep
-	// their part of what all nodes share.
+	// leftNodes maps the nodes that have left the list to the time until which they keep their
+	// share of what all nodes share.
 	leftNodes map[string]time.Time
 	// shuttingDown says that this node is shutting down and collects for nobody.
 	shuttingDown bool
 }
 
-// withListed takes in the list of nodes.
+// withListed applies a new list of nodes. Peers that are unchanged in it stay lost.
 func (p peers) withListed(all []Peer) peers {
 	next := map[string]lostPeer{}
 	for _, peer := range all {
@@ -71,8 +72,8 @@
 	return p
 }
 
-// withLeftNodes notes which nodes are missing from a new list; until a given time they keep
-// their part of what all nodes share.
+// withLeftNodes records which nodes are missing from a new list. They keep their share of what all
+// nodes share until the given time.
 func (p peers) withLeftNodes(all []Peer, now, until time.Time) peers {
 	departed := map[string]time.Time{}
 	for name, keptUntil := range p.leftNodes {
@@ -91,8 +92,8 @@
 	return p
 }
 
-// sharers are the nodes that have a part of what all nodes share: those on the list, and those
-// that have left it and may still be at work.
+// sharers returns the nodes among which the common limits and budgets are divided: those on the
+// list, and those that have left it and may still be at work.
 func (p peers) sharers(now time.Time) chutequota.Owners {
 	names := p.names()
 	for name, until := range p.leftNodes {
@@ -104,7 +105,7 @@
 	return chutequota.NewOwners(p.self.Name, names)
 }
 
-// withLost passes a peer over for a while; mute says that nothing at all came back from it.
+// withLost skips a peer for a pause; silent says that nothing at all came back from it.
 func (p peers) withLost(name string, silent bool, now time.Time) peers {
 	next := maps.Clone(p.lost)
 	if next == nil {
@@ -117,7 +118,7 @@
 	return p
 }
 
-// withReachable forgets that a peer was lost.
+// withReachable removes a peer's record as lost.
 func (p peers) withReachable(name string) peers {
 	if _, lost := p.lost[name]; !lost {
 		return p
@@ -128,10 +129,10 @@
 	return p
 }
 
-// zoneSilent says whether a zone's nodes are taken for gone, whatever its upstreams do.
+// zoneSilent reports whether a zone's nodes are considered gone, whatever its upstreams do.
 //
-// The nodes of a zone can lose power together, and stay on the list. Found out one by one,
-// each of tens of them costs a request a third of its time, at each node anew.
+// The nodes of a zone can lose power together and stay on the list. If each of tens of them is
+// found out separately, each costs a request a third of its time, at every node again.
 func (p peers) zoneSilent(zone string, now time.Time) bool {
 	silentPeers := 0
 	for _, peer := range p.all {
@@ -143,22 +144,22 @@
 	return silentPeers >= minSilentPeers
 }
 
-// minPowerShare is the part of the strongest node's power that a collector needs:
-// on a weak VM the parts of a whole pool would wait for its processor or its link.
+// minPowerShare is the share of the strongest node's power that a collector needs: on a weak VM
+// the parts of a whole pool would wait for its processor or its network link.
 const minPowerShare = 0.5
 
-// collectorRole names the duty of a collector, with the shard.
+// collectorRole is the prefix of a collector's role in Elect; the shard follows.
 const collectorRole = "collector|"
 
-// collector returns the node that gathers the parts of a lane.
+// collector returns the node that collects the parts of a lane.
 //
-// It is the same for all lanes of a shard: so it knows the queues of a request's
-// later stages when the first one asks, and turns the request away at once.
+// It is the same for all lanes of a shard. So it knows the queues of a request's later stages when
+// the first one is requested, and refuses the request at once.
 //
-// Each node works it out alone from the list; a node that is silent to one is
-// passed over by that one only. Two collectors for one lane cost refused calls
-// and no correctness, so no lease is needed. A shard's collector is in its zone,
-// where it goes on working when zones are cut off from each other.
+// Each node computes it alone from the list; a node that is lost to one is skipped by that one
+// only. Two collectors for one lane cost refused calls but no correctness, so no lease is needed.
+// A shard's collector is in its zone, where it goes on working when zones are cut off from each
+// other.
 func (p peers) collector(lane chutebatch.Lane, unreachable []string, now time.Time) Peer {
 	chosen, ok := Elect(collectorRole+lane.Shard, p.candidates(lane.Shard, unreachable, now))
 	if !ok {
@@ -168,8 +169,9 @@
 	return chosen
 }
 
-// Elect returns the node for a duty: of those that are strong enough the one that
-// comes first in the duty's own order. All nodes with the same list elect the same.
+// Elect returns the node for a role: of the candidates with enough power the one with the highest
+// hash of role and name (rendezvous hashing). All nodes with the same list elect the same. It
+// returns false without candidates.
 func Elect(role string, candidates []Peer) (Peer, bool) {
 	var best Peer
 	var bestHash uint64
@@ -185,7 +187,8 @@
 	return best, found
 }
 
-// candidates lists the nodes that are not silent, those of the zone if there are any.
+// candidates lists the nodes that are neither lost nor in an unreachable zone; only those of the
+// zone if there are any.
 func (p peers) candidates(zone string, unreachable []string, now time.Time) []Peer {
 	if zone != p.self.Zone && p.zoneSilent(zone, now) {
 		unreachable = append(slices.Clone(unreachable), zone)
@@ -207,7 +210,7 @@
 	return all
 }
 
-// skipped says whether a node is not to be asked now.
+// skipped reports whether jobs must not be requested from a node now.
 func (p peers) skipped(peer Peer, now time.Time) bool {
 	if peer.Name == p.self.Name {
 		return p.shuttingDown
@@ -225,7 +228,7 @@
 	return highest
 }
 
-// zoneCount counts the zones of the listed nodes; 1 at least.
+// zoneCount counts the zones of the listed nodes; it is at least 1.
 func (p peers) zoneCount() int {
 	zones := map[string]bool{}
 	for _, peer := range p.all {
--- a/internal/chuterelay/probe.go
+++ b/internal/chuterelay/probe.go
@@ -6,14 +6,14 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-// probeInterval is how often a silent upstream is asked whether it accepts
-// connections; less than the shortest pause that it is set aside for.
+// probeInterval is how often a silent upstream is checked for whether it accepts connections. It
+// is less than the shortest time for which an upstream is suspended.
 const probeInterval = 400 * time.Millisecond
 
-// suspendSilent sets an upstream aside and has it asked until it answers.
+// suspendSilent suspends an upstream and has it probed until it replies.
 //
-// Without it each node would find out by requests, one after the other, that a
-// zone is cut off, and each of them would lose a third of a second.
+// Without probes each node would find out by one request after the other that a zone is cut off,
+// and each of them would lose a third of a second.
 func (st *reduction) suspendSilent(id string) {
 	st.fleet = st.fleet.WithFailure(id, chutefleet.FailureSilent, st.now)
 	u, ok := st.fleet.Get(id)
@@ -23,7 +23,7 @@
 	}
 }
 
-// recordFailure notes a failure that counts against an upstream.
+// recordFailure records a failure that counts against an upstream.
 func (st *reduction) recordFailure(id string, kind chutefleet.FailureKind) {
 	if kind == chutefleet.FailureSilent {
 		st.suspendSilent(id)
@@ -33,7 +33,7 @@
 	st.fleet = st.fleet.WithFailure(id, kind, st.now)
 }
 
-// probeEnded takes an upstream back, or asks again later.
+// probeEnded makes an upstream available again, or probes it again later.
 func (st *reduction) probeEnded(e ProbeEnded) {
 	st.probing = st.probing.Delete(e.Upstream)
 	u, _ := st.fleet.Get(e.Upstream)
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -8,11 +8,12 @@
 	"azurechute.example/azurechute/internal/chutequarantine"
 )
 
-// crashRetryAfter is when a caller may come back under whose request upstreams have ended,
-// before it is known whether that was its doing: they are back after some seconds.
+// crashRetryAfter is the retry delay of a caller whose request was running on upstreams that
+// ended, before it is known whether the request was the cause. The upstreams are back after some
+// seconds.
 const crashRetryAfter = 5 * time.Second
 
-// quarantineRefusal is what a caller hears whose request is set aside until a time from now.
+// quarantineRefusal refuses a request that is quarantined for the given time from now.
 func quarantineRefusal(retryAfter time.Duration) Refusal {
 	return Refusal{
 		Kind: RefusedNotRun, Reason: "upstreams ended each time that they ran this request; it is set aside",
@@ -20,11 +21,12 @@
 	}
 }
 
-// quarantineRefusalFor says why a request is not handed to any upstream.
+// quarantineRefusalFor returns the refusal of a request that is quarantined, and false for any
+// other.
 //
-// A request that ends the process of whoever runs it comes again with each retry of its
-// caller, at any node. Without this it takes one upstream after another out of its pool,
-// each with all calls that stand beside it.
+// A request that ends the process of each upstream that runs it arrives again with each retry of
+// its caller, at any node. Without the quarantine it takes one upstream after another out of its
+// pool, each with all other calls that run there.
 func (st *reduction) quarantineRefusalFor(fingerprint string) (Refusal, bool) {
 	until, quarantined := st.quarantine.Holds(fingerprint)
 	if !quarantined || !st.now.Before(until) {
@@ -34,12 +36,12 @@
 	return quarantineRefusal(until.Sub(st.now)), true
 }
 
-// suspect names the request to other nodes.
+// suspect identifies the request to other nodes.
 func (r request) suspect() chutequarantine.Suspect {
 	return chutequarantine.Suspect{Fingerprint: r.Fingerprint, Workspace: r.Workspace.Name, Pipeline: r.Pipeline.Name}
 }
 
-// callSuspects names the requests whose parts are in a call.
+// callSuspects identifies the requests whose parts are in a call.
 func callSuspects(call chutebatch.Call) []chutequarantine.Suspect {
 	var all []chutequarantine.Suspect
 	seen := map[string]bool{}
@@ -53,10 +55,10 @@
 	return all
 }
 
-// recordCrash takes in that an upstream ended while it ran requests of this node.
+// recordCrash records that an upstream ended while it ran requests of this node.
 //
-// One that was leaving, or had left the list already, has ended as it was told to, whatever
-// it still ran: the entry of one that crashes runs out seconds later.
+// An upstream that was leaving, or had left the list already, ended as it was told to, whatever it
+// still ran: the list entry of one that crashes expires seconds later.
 func (st *reduction) recordCrash(u chutefleet.Upstream, evidence string, suspects ...chutequarantine.Suspect) {
 	known, listed := st.fleet.Get(u.ID)
 	serving := listed && known.State == chutefleet.StateReady || st.fleet.HasReplaced(u.ID)
@@ -73,14 +75,14 @@
 	st.scheduleJudgement()
 }
 
-// recordCallCrash takes in that an upstream ended while it ran a call with parts.
+// recordCallCrash records that an upstream ended while it ran a call with parts.
 func (st *reduction) recordCallCrash(u chutefleet.Upstream, call chutebatch.Call, evidence string) {
 	st.recordCrash(u, evidence, callSuspects(call)...)
 	st.collector = st.collector.WithEndedUnder(call)
 }
 
-// clearSuspicion takes in that an upstream has answered a request: whatever ended beside it, it was
-// not the cause.
+// clearSuspicion clears a request that an upstream has answered: it was not the cause of crashes
+// of upstreams that ran it.
 func (st *reduction) clearSuspicion(r request) {
 	upstreams := st.quarantine.Suspected(r.Fingerprint)
 	if len(upstreams) == 0 {
@@ -91,7 +93,7 @@
 	st.emit(AnnounceJudgement{Judgement: j})
 }
 
-// quarantineAnnounced takes in what other nodes tell.
+// quarantineAnnounced applies the crashes and judgements that other nodes have announced.
 func (st *reduction) quarantineAnnounced(e QuarantineAnnounced) {
 	for _, c := range e.Crashes {
 		st.quarantine, _ = st.quarantine.WithCrash(c, false, st.now)
@@ -106,7 +108,7 @@
 	st.scheduleJudgement()
 }
 
-// scheduleJudgement asks for the next look at the crashes.
+// scheduleJudgement schedules the next judgement of crashes.
 func (st *reduction) scheduleJudgement() {
 	at := st.quarantine.JudgeAt()
 	if at.IsZero() || !st.judgeAt.IsZero() {
@@ -116,10 +118,10 @@
 	st.emit(JudgeAt{At: at})
 }
 
-// judgeCrashes sets requests aside that upstreams ended under.
+// judgeCrashes quarantines the requests that upstreams ended under.
 //
-// Each node comes to the same verdicts; those that saw an end themselves tell them, so that
-// few of hundreds write the same row.
+// Each node reaches the same verdicts. Only nodes that observed a crash themselves announce them,
+// so that few of hundreds of nodes write the same row.
 func (st *reduction) judgeCrashes() {
 	st.quarantine = st.quarantine.Expire(st.now)
 	var judgements []chutequarantine.Judgement
@@ -135,10 +137,10 @@
 	st.scheduleJudgement()
 }
 
-// enforceQuarantine ends what is under way of a request that is set aside: what waits for its stages
-// or its upstream, and calls from which nothing has come yet. An upstream drops a call
-// whose connection closes, mostly before it has ended by it. A stream that has begun runs
-// on, since its upstream has outlived the beginning.
+// enforceQuarantine ends what is in progress of a quarantined request: what waits for its stages
+// or its upstream, and calls that have not replied yet. An upstream drops a call whose connection
+// closes, mostly before the call has ended the upstream's process. A stream that has begun goes
+// on, since its upstream has survived the beginning.
 func (st *reduction) enforceQuarantine(j chutequarantine.Judgement) {
 	if j.Verdict != chutequarantine.VerdictQuarantined {
 		return
@@ -158,7 +160,7 @@
 	st.settleJobs(ended)
 }
 
-// Quarantine returns what the node has heard of crashes and judgements.
+// Quarantine returns the crashes and judgements that the node knows of.
 func (s State) Quarantine() chutequarantine.Quarantine {
 	return s.quarantine
 }
--- a/internal/chuterelay/refusal.go
+++ b/internal/chuterelay/refusal.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// RefusalKind says what the caller may conclude from not being answered.
+// RefusalKind says what the caller may conclude from a refusal.
 type RefusalKind string
 
 // The kinds of refusal.
 const (
-	// RefusedNotRun promises that no upstream ran the request and none will.
+	// RefusedNotRun guarantees that no upstream ran the request and none will.
 	RefusedNotRun RefusalKind = "NotRun"
-	// RefusedFailed promises nothing: part of it may have run.
+	// RefusedFailed guarantees nothing: part of the request may have run.
 	RefusedFailed RefusalKind = "Failed"
 	// RefusedExpired is RefusedFailed because the time was over.
 	RefusedExpired RefusalKind = "Expired"
-	// RefusedNoPipeline: no pipeline matches; coming back does not help.
+	// RefusedNoPipeline: no pipeline matches; retrying does not help.
 	RefusedNoPipeline RefusalKind = "NoPipeline"
 	// RefusedKey: the key is missing or unknown.
 	RefusedKey RefusalKind = "Key"
@@ -23,21 +23,21 @@
 	RefusedTooLarge RefusalKind = "TooLarge"
 )
 
-// Refusal is what a caller hears in place of an answer.
+// Refusal is what a caller gets in place of an answer.
 type Refusal struct {
 	Kind RefusalKind
 	// Reason is a sentence for logs and callers.
 	Reason string
-	// RetryAfter is when to come back; zero where that does not help.
+	// RetryAfter is the delay after which to retry; zero where that does not help.
 	RetryAfter time.Duration
 }
 
 const (
-	// defaultRetryAfter is when a caller may come back after a passing lack, such as a pool
-	// whose upstreams were all set aside for half a second.
+	// defaultRetryAfter is the retry delay after a temporary shortage, such as a pool whose
+	// upstreams were all suspended for half a second.
 	defaultRetryAfter = 400 * time.Millisecond
-	// retryAfterSpread is the part by which a time to come back is varied, so that the callers of
-	// a pool that fails do not all come back together.
+	// retryAfterSpread is the relative amount by which a retry delay is varied, so that the
+	// callers of a failing pool do not all retry together.
 	retryAfterSpread = 0.5
 )
 
--- a/internal/chuterelay/request.go
+++ b/internal/chuterelay/request.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxRefusedSends bounds the sends beyond the allowed attempts that an upstream
-	// refused without running anything.
+	// maxRefusedSends bounds the sends beyond the allowed attempts, for upstreams that refused
+	// without running anything.
 	maxRefusedSends = 2
-	// promptTokensPerMillisecond is the prompt tokens an engine reads in a millisecond when it is
-	// shared, somewhat under what the engines' sheets say.
+	// promptTokensPerMillisecond is the rate at which a shared engine reads prompts, somewhat
+	// below the engines' data sheets.
 	promptTokensPerMillisecond = 25
 	// engineStartTime is the time to a first event besides reading the prompt.
 	engineStartTime = 60 * time.Millisecond
@@ -22,19 +22,20 @@
 	plainCallTime = 80 * time.Millisecond
 )
 
-// stageState is how far one stage of a request has come.
+// stageState is the progress of one stage of a request.
 type stageState struct {
-	// jobRequestID is the ask under way or whose results are held; 0 if there is none.
+	// jobRequestID is the job request that is in progress or whose results are held; 0 if there is
+	// none.
 	jobRequestID uint64
 	done         bool
 	results      []chutebatch.Result
-	// doneAt is when the results were heard of.
+	// doneAt is when this node received the results.
 	doneAt time.Time
-	// failures counts the asks that failed.
+	// failures counts the job requests that failed.
 	failures int
 }
 
-// attempt is the call of a request that is under way.
+// attempt is the current call of a request.
 type attempt struct {
 	id       uint64
 	upstream chutefleet.Upstream
@@ -42,37 +43,41 @@
 	sentAt   time.Time
 }
 
-// request is one relayed request in flight; values are never changed in place.
+// request is one relayed request in flight. Values are never modified in place.
 type request struct {
 	Submission
-	// pool is the target that was drawn for the request.
+	// pool is the call's pool, drawn at random from the pipeline's targets.
 	pool      string
 	arrivedAt time.Time
-	aimAt     time.Time
-	// callerLeavesAt is when the caller leaves if no event has come by then.
+	// aimAt is when the request should be answered: its pipeline's aim, counted from the caller's
+	// first sending.
+	aimAt time.Time
+	// callerLeavesAt is when the caller leaves if it has received no event by then.
 	callerLeavesAt time.Time
-	// waitedBefore is how long the caller is believed to have waited before this sending.
+	// waitedBefore is the estimate of how long the caller had waited before this sending.
 	waitedBefore time.Duration
 	stages       []stageState
 	// zone is where the call is expected to run.
 	zone string
-	// sends counts calls, runs those among them that may have run.
+	// sends counts calls. possibleRuns counts those of them that may have run.
 	sends        int
 	possibleRuns int
-	// maybeReached says that a call may have reached an upstream, so that the next one is a repeat.
+	// maybeReached says that a call may have reached an upstream, so that the next one is a
+	// repeat.
 	maybeReached bool
 	// lastEnd is how the last call ended; empty before the first has.
 	lastEnd        AttemptEnd
 	triedUpstreams []string
-	// current is the call under way; its id is 0 if there is none.
+	// current is the call in progress; its id is 0 if there is none.
 	current attempt
 	// answerBegun says that the caller has part of the answer.
 	answerBegun bool
-	// failureAttempt is the last attempt whose own answer, a failure, can be passed on; 0 if there is none.
+	// failureAttempt is the last attempt with an upstream's own failure answer that can be passed
+	// on; 0 if there is none.
 	failureAttempt uint64
 }
 
-// priority is the workspace's word, or else the pipeline's.
+// priority returns the workspace's priority if it has one, and the pipeline's otherwise.
 func (r request) priority() int {
 	if r.Workspace.HasPriority {
 		return r.Workspace.Priority
@@ -81,19 +86,21 @@
 	return r.Pipeline.Priority
 }
 
-// ranksPerPriority is the number of pipelines' priorities that one workspace's priority spans.
+// ranksPerPriority is the number of ranks within one priority: pipelines' priorities 0 to 9 order
+// the jobs of workspaces with the same priority.
 const ranksPerPriority = 10
 
-// rank orders the stages' jobs: by priority, and those of one priority by their pipeline's.
+// rank returns the priority of the stages' jobs: by the request's priority first, and within it by
+// the pipeline's.
 //
-// All of a workspace's requests have its priority. Ordered by their aims alone within
-// it, requests with a long aim that have waited for a while go ahead of urgent ones
-// with a short one, which are turned away, so that the most urgent pipeline is served least.
+// All of a workspace's requests have its priority. Ordered within it by their aims alone, requests
+// with a long aim that have waited for a while go ahead of urgent ones with a short aim. The
+// urgent ones are refused, so that the most urgent pipeline is served least.
 func (r request) rank() int {
 	return r.priority()*ranksPerPriority + min(max(0, r.Pipeline.Priority), ranksPerPriority-1)
 }
 
-// parts is the number of parts of a stage.
+// parts returns the number of parts of a stage.
 func (r request) parts(stage int) int {
 	if stage >= len(r.Parts) {
 		return 0
@@ -110,7 +117,8 @@
 	return r
 }
 
-// canRequestStage says whether a stage can be asked for: not yet asked, and all it takes in is there.
+// canRequestStage reports whether a stage can be requested: it was not requested yet, and all its
+// inputs are ready.
 func (r request) canRequestStage(i int) bool {
 	if r.stages[i].done || r.stages[i].jobRequestID != 0 {
 		return false
@@ -124,14 +132,15 @@
 	return true
 }
 
-// largeResult is the size of a stage's results from which on they are not made
-// sooner than needed: a tenth of an upstream's room where results are largest.
+// largeResult is the size in bytes from which a stage's results are not made sooner than needed: a
+// tenth of an upstream's space where results are largest.
 const largeResult = 1_000_000
 
-// tooEarly says whether a stage's heavy results would lie and wait for other stages.
+// tooEarly reports whether a stage's large results would be stored while they wait for other
+// stages.
 //
-// They take the scarcest room, and the call needs them no sooner than the results
-// of the longest other way. So they are made beside that way's last stage.
+// They take the scarcest space, and the call needs them no sooner than the results of the longest
+// other path. So they are made at the same time as that path's last stage.
 func (r request) tooEarly(i int) bool {
 	if r.answerBegun || r.Pipeline.Stages[i].ResultBytes*int64(r.parts(i)) < largeResult {
 		return false
@@ -145,7 +154,8 @@
 	return false
 }
 
-// hasUnfinishedDependent says whether another unfinished stage takes a stage's results in.
+// hasUnfinishedDependent reports whether another unfinished stage takes a stage's results as
+// inputs.
 func (r request) hasUnfinishedDependent(i int) bool {
 	for n := range r.stages {
 		if dependsOn(r, n, i) && !r.stages[n].done {
@@ -168,7 +178,7 @@
 	return refs
 }
 
-// resultUpstreams lists the incarnations that keep the results of the stages, each once.
+// resultUpstreams lists the upstream incarnations that hold results of the stages, each once.
 func (r request) resultUpstreams(stages []int) []string {
 	var keepers []string
 	for _, i := range stages {
@@ -182,11 +192,11 @@
 	return keepers
 }
 
-// answerBy is when the answer, or its first event, has to be there.
+// answerBy returns when the answer, or its first event, has to be there.
 //
-// Callers of a stream leave long before their deadlines if nothing comes. Held until
-// then, a request is lost with all that was made for it, and its caller, who was not
-// told to come back, does not.
+// Callers of a stream leave long before their deadlines if nothing comes. If the request is kept
+// until the deadline, all results made for it are lost, and its caller, who was not told to retry,
+// does not.
 func (r request) answerBy() time.Time {
 	if r.answerBegun {
 		return r.Deadline
@@ -195,7 +205,7 @@
 	return r.callerLeavesAt
 }
 
-// hasStageResults says whether any stage's work has been spent on the request.
+// hasStageResults reports whether any stage has run for the request.
 func (r request) hasStageResults() bool {
 	for i := range r.stages {
 		if r.stages[i].done && r.parts(i) > 0 {
@@ -206,22 +216,22 @@
 	return false
 }
 
-// allStagesDone says whether all stages are done.
+// allStagesDone reports whether all stages are done.
 func (r request) allStagesDone() bool {
 	return !slices.ContainsFunc(r.stages, func(s stageState) bool { return !s.done })
 }
 
-// atMostOnce says whether the call must not be sent again after it may have run.
+// atMostOnce reports whether the call must not be sent again after it may have run.
 func (r request) atMostOnce() bool {
 	return r.Pipeline.Repeat == chuteroute.Unrepeatable
 }
 
-// maxPossibleRuns is the number of upstreams that may run the request.
+// maxPossibleRuns returns the number of upstreams that may run the request.
 func (r request) maxPossibleRuns() int {
 	return max(1, r.Pipeline.MaxAttempts)
 }
 
-// callTime is the usual time from the last stage's end to the answer or first event.
+// callTime returns the usual time from the last stage's end to the answer or first event.
 func (r request) callTime() time.Duration {
 	if r.PromptTokens == 0 {
 		return plainCallTime
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -7,10 +7,11 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-// restartedReason is what callers and the log are told of what ended with an upstream's process.
+// restartedReason is the reason in refusals and in the log for what ended with an upstream's
+// process.
 const restartedReason = "the upstream has started again"
 
-// updateUpstreams takes in the platform's list.
+// updateUpstreams applies the platform's list of upstreams.
 func (st *reduction) updateUpstreams(e UpstreamsListed) {
 	before := st.fleet
 	st.fleet = st.fleet.WithListed(e.Upstreams, e.Hold, st.now)
@@ -21,11 +22,12 @@
 	st.fillAllLanes()
 }
 
-// upstreamRestarted takes in that an upstream's process has ended and another one has its name.
+// upstreamRestarted applies the restart of an upstream: its process has ended and another one has
+// its name.
 //
-// Results, room, connections and calls have ended with the process. Found out one by
-// one, each lost result costs a call that ends for want of it, and an unrepeatable
-// call on a connection that went silent would wait for its deadline.
+// Results, space, connections and calls have ended with the process. If they are found out one by
+// one, each lost result costs a call that ends because of it, and an unrepeatable call on a
+// connection that went silent would wait for its deadline.
 func (st *reduction) upstreamRestarted(u chutefleet.Upstream) {
 	st.emit(DropConnections{Address: u.Address})
 	st.upstreamPaces = st.upstreamPaces.Delete(u.ID)
@@ -45,8 +47,7 @@
 	st.settleJobs(ended)
 }
 
-// endAttemptsAt ends the relayed calls that were under way at an upstream that is gone.
-// They may have run.
+// endAttemptsAt ends the relayed calls in progress at an upstream that is gone. They may have run.
 func (st *reduction) endAttemptsAt(u chutefleet.Upstream) {
 	for i := st.requests.Iterator(); !i.Done(); {
 		_, r, _ := i.Next()
@@ -61,13 +62,13 @@
 	}
 }
 
-// remakeResultsOf has the stages made again whose results lay at an upstream that is gone
-// and are still needed.
+// remakeResultsOf runs the stages again whose results were held by an upstream that is gone and
+// are still needed.
 func (st *reduction) remakeResultsOf(u chutefleet.Upstream) {
 	for i := st.requests.Iterator(); !i.Done(); {
 		handle, _, _ := i.Next()
 		r, ok := st.requests.Get(handle)
-		// A call that is under way has them, or says that it lacks them.
+		// A call in progress has its inputs, or reports that they are gone.
 		if !ok || r.current.id != 0 || !r.hasResultsAt(u.ID) {
 			continue
 		}
@@ -75,18 +76,18 @@
 	}
 }
 
-// hasResultsAt says whether the request holds results at an upstream.
+// hasResultsAt reports whether the request holds results at an upstream.
 func (r request) hasResultsAt(upstream string) bool {
 	return slices.ContainsFunc(r.stages, func(s stageState) bool { return s.hasResultsAt(upstream) })
 }
 
-// hasResultsAt says whether any of a stage's results lies at an upstream.
+// hasResultsAt reports whether any of a stage's results is held by an upstream.
 func (s stageState) hasResultsAt(upstream string) bool {
 	return slices.ContainsFunc(s.results, func(result chutebatch.Result) bool { return result.Upstream == upstream })
 }
 
-// remakeStages undoes the stages whose results are lost, and those under way that take
-// them in, and starts them anew if the pools' repeats allow it.
+// remakeStages resets the stages whose results are lost, cancels the requested stages that take
+// them as inputs, and starts them again if the pools' retry budgets allow it.
 func (st *reduction) remakeStages(r request, u chutefleet.Upstream) {
 	original := r
 	for i := range r.stages {
--- a/internal/chuterelay/results.go
+++ b/internal/chuterelay/results.go
@@ -7,12 +7,12 @@
 	"azurechute.example/azurechute/internal/chutebatch"
 )
 
-// resultExpiryMargin is how much sooner than the upstream a node counts a result as gone: the
-// call that made it ended earlier than the node heard of it, and the next one has to
-// fetch it.
+// resultExpiryMargin is how much sooner than the upstream a node considers a result expired. The
+// call that made it ended before this node learned of it, and the next call has to fetch it.
 const resultExpiryMargin = 500 * time.Millisecond
 
-// inputsExpireAt is when the first of the stages' results runs out, or nobody waits any more.
+// inputsExpireAt returns when the first of the stages' results expires, or when the caller stops
+// waiting if that is sooner.
 func (st *reduction) inputsExpireAt(r request, stages []int) time.Time {
 	expiry := r.answerBy()
 	for _, i := range stages {
@@ -28,10 +28,10 @@
 	return expiry
 }
 
-// inputZone is the zone in which most of the stages' results lie.
+// inputZone returns the zone that holds most of the stages' results.
 //
-// Each part of a later stage fetches all results of the stages before it, which
-// together outweigh its own result; so it runs beside them.
+// Each part of a later stage fetches all results of the stages before it, which together are
+// larger than its own result. So it runs in their zone.
 func (r request) inputZone(stages []int, fallback string) string {
 	count := map[string]int{}
 	best := fallback
@@ -47,7 +47,7 @@
 	return best
 }
 
-// releaseConsumed gives back results that all stages after them have taken in.
+// releaseConsumed releases results that all stages after them have taken in.
 func (st *reduction) releaseConsumed(r request) request {
 	leaves := r.Pipeline.Leaves()
 	for i := range r.stages {
@@ -60,7 +60,7 @@
 	return r
 }
 
-// allDependentsDone says whether every stage after this one is done.
+// allDependentsDone reports whether every stage that depends on this one is done.
 func (r request) allDependentsDone(i int) bool {
 	for n := range r.stages {
 		if dependsOn(r, n, i) && !r.stages[n].done {
@@ -71,7 +71,7 @@
 	return true
 }
 
-// releaseResults gives back one stage's results; the stage stays done.
+// releaseResults releases one stage's results; the stage stays done.
 func (st *reduction) releaseResults(r request, i int) request {
 	s := r.stages[i]
 	st.dropJobRequest(s.jobRequestID, s.results)
@@ -81,7 +81,8 @@
 	return r.withStage(i, s)
 }
 
-// dropJobRequest ends an ask; whoever made results frees them, or else this node does.
+// dropJobRequest ends a job request. The collector that made the results frees them; if it was
+// lost, this node does.
 func (st *reduction) dropJobRequest(id uint64, results []chutebatch.Result) {
 	a, ok := st.jobRequests.Get(id)
 	if !ok {
@@ -98,7 +99,7 @@
 	}
 }
 
-// freeResults frees results that no collector looks after.
+// freeResults frees results that no collector manages.
 func (st *reduction) freeResults(results []chutebatch.Result) {
 	byUpstream := map[string][]string{}
 	var order []string
@@ -113,14 +114,15 @@
 	}
 }
 
-// freeOnUpstream tells an upstream which results may go.
+// freeOnUpstream tells an upstream which results are not needed any more, unless its zone is
+// evacuated.
 func (st *reduction) freeOnUpstream(f chutebatch.Free) {
 	if u, ok := st.fleet.Get(f.Upstream); ok && !st.fleet.Evacuated(u.Zone) {
 		st.emit(FreeResults{Upstream: u, Refs: f.Refs})
 	}
 }
 
-// resetInputs undoes the stages before one whose inputs were gone.
+// resetInputs resets the stages before one whose inputs were gone.
 func (st *reduction) resetInputs(r request, stage int, reason string) request {
 	if reason != string(chutebatch.PartInputGone) && reason != string(chutebatch.PartLate) {
 		return r
@@ -132,7 +134,7 @@
 	return r
 }
 
-// resetStage makes a stage, and the ones before it whose results are gone, run again.
+// resetStage marks a stage to be run again, with the stages before it whose results are gone.
 func (st *reduction) resetStage(r request, i int) request {
 	if r.parts(i) == 0 {
 		return r
--- a/internal/chuterelay/source.go
+++ b/internal/chuterelay/source.go
@@ -8,25 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxDirectFollowers is the number of followers that one node serves before there is a
-// second level. A follower costs three streams with a sign of life each 0.3 s and one with
-// one a second, some 520 bytes a second in all: twelve take three quarters of the 8 KB/s that
-// a node has for control.
+// maxDirectFollowers is the number of followers that one node serves before there is a second
+// level. A follower costs three streams with a keepalive every 0.3 s and one with a keepalive
+// every second, some 520 bytes per second in all. Twelve take three quarters of the 8 KB/s that a
+// node has for control traffic.
 const maxDirectFollowers = 12
 
-// TableSource returns the node that another one takes the store's tables from; false if that
-// one reads the store itself, as the first of its region.
+// TableSource returns the node from which another one takes the store's tables. It returns false
+// if that one reads the store itself, as the first of its region.
 //
-// The first node of a zone follows the first of the region, since whatever reads the
-// store reads the heartbeats of all upstreams. Up to twelve others follow the first of
-// their zone. Where there are more, as many as the root of their number follow it and
-// serve the rest, so that nobody serves more than the root of the zone's size on
-// average: 9 of 80 nodes, 14 of 200. Each of the rest keeps its node as long as that one
-// is there, whoever else comes and goes.
+// The first node of a zone follows the first of the region, since each node that reads the store
+// reads the heartbeats of all upstreams. Up to twelve others follow the first of their zone. Where
+// there are more, the first of the zone is followed by as many as the square root of their number,
+// and these serve the rest, so that no node serves more than the square root of the zone's size on
+// average: 9 of 80 nodes, 14 of 200. Each of the rest keeps its source as long as that is listed,
+// whichever other nodes come and go.
 //
-// A node only ever follows one that comes before it in an order that depends on the two
-// alone. Nodes whose lists differ may follow different ones, but never each other in a
-// circle, in which all would take old tables for current.
+// A node only ever follows one that comes before it in an order that depends on the two alone.
+// Nodes whose lists differ may follow different ones, but never each other in a cycle, in which
+// all would treat old tables as current.
 func TableSource(self Peer, nodes []Peer) (Peer, bool) {
 	order := sourceOrder(nodes)
 	zone := slices.DeleteFunc(slices.Clone(order), func(p Peer) bool { return p.Zone != self.Zone })
@@ -43,8 +43,8 @@
 	return order[first], true
 }
 
-// zoneTableSource returns whom a node follows that is not the first of its zone; own is its
-// place in the zone's order, or below 0 if it is not listed.
+// zoneTableSource returns the source of a node that is not the first of its zone. index is its
+// place in the zone's order, or negative if it is not listed.
 func zoneTableSource(self Peer, zone []Peer, index int) Peer {
 	if index < 0 {
 		index = len(zone)
@@ -59,7 +59,8 @@
 	return slices.MaxFunc(zone[1:1+relayCount], func(a, b Peer) int { return cmp.Compare(pairHash(a), pairHash(b)) })
 }
 
-// sourceOrder returns nodes strong ones first, and equally strong ones in an order of their own.
+// sourceOrder returns the nodes ordered by power class, strongest first, and by a hash of the name
+// within a class.
 func sourceOrder(nodes []Peer) []Peer {
 	type ranked struct {
 		Peer
@@ -82,7 +83,8 @@
 	return order
 }
 
-// powerClass is the same for nodes whose power differs by less than twice or so.
+// powerClass returns the same class for nodes whose powers differ by less than a factor of about
+// two.
 func powerClass(power float64) int {
 	_, exponent := math.Frexp(power)
 
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// maxStageFailures bounds how often one stage of a request is asked for.
+	// maxStageFailures bounds how often one stage of a request is requested.
 	maxStageFailures = 4
-	// resumePriority and resumeAim put the stages of a broken stream, which are made
-	// again, ahead of all others: its caller has part of the answer and sees a pause.
+	// resumePriority and resumeAim put the stages of a broken stream, which are run again, ahead
+	// of all others: its caller has part of the answer and sees a pause.
 	resumePriority = -1
 	resumeAim      = 3 * time.Second
 )
 
-// requestStage asks the pool's collector for all parts of a stage.
+// requestStage requests all parts of a stage from the pool's collector.
 func (st *reduction) requestStage(r request, i int) {
 	stage := r.Pipeline.Stages[i]
 	id := st.newID()
@@ -67,15 +67,16 @@
 	st.emit(RequestJob{JobRequestID: id, Peer: peer, Job: job, Loads: st.takePendingLoads()})
 }
 
-// dueCalls is the number of calls in which a stage of a request that is under way is
-// due: the one that runs now, and its own.
+// dueCalls is the number of calls within which a stage of a request with finished stages is due:
+// the one that runs now, and its own.
 const dueCalls = 2
 
-// dueTime is when the stages of a request under way are due, from now.
+// dueTime returns the time from now in which the next stage of a request with finished stages is
+// due.
 //
-// A late request yields to those that are not late, but at its first stage alone. In
-// the midst its results take room that the others need, run out after some seconds,
-// and are lost with their node: there it yields no more, so that it is soon over.
+// A late request yields to those that are not late, but at its first stage alone. After that its
+// results take space that others need, expire after some seconds, and are lost with their
+// upstream. So it does not yield any more and is over soon.
 func (st *reduction) dueTime(pool string) time.Duration {
 	b := st.config.Pools[pool].Batching
 	if b == nil {
@@ -93,12 +94,12 @@
 	return b
 }
 
-// maxUnshardedUpstreams is the number of upstreams from which on a pool has a collector a
-// zone: with three or more upstreams each, calls are filled as well, nothing
-// crosses zones, and no single node carries the whole pool.
+// maxUnshardedUpstreams is the number of upstreams above which a pool has one collector per zone.
+// With three or more upstreams per zone calls are filled as well, no traffic crosses zones, and no
+// single node collects for the whole pool.
 const maxUnshardedUpstreams = 8
 
-// shard returns the zone whose upstreams the job is for, or empty for the whole pool.
+// shard returns the zone whose upstreams the job is for, or an empty string for the whole pool.
 func (st *reduction) shard(job chutebatch.Job) string {
 	if st.fleet.Len(job.Pool, st.now) <= maxUnshardedUpstreams || !st.fleet.UsableInZone(job.Pool, job.Zone, st.now) {
 		return ""
@@ -107,7 +108,7 @@
 	return job.Zone
 }
 
-// jobDone takes a stage's results and goes on.
+// jobDone records a stage's results and continues the request.
 func (st *reduction) jobDone(e JobDone) {
 	a, ok := st.jobRequests.Get(e.JobRequestID)
 	if !ok {
@@ -140,10 +141,11 @@
 	st.advance(r)
 }
 
-// jobFailed asks again, at another collector if the peer was lost, or gives the request up.
+// jobFailed requests the stage again, from another collector if the peer was lost, or gives the
+// request up.
 //
-// Parts may be made twice without harm, so the next collector is asked at once;
-// what the lost one still makes is dropped there when its lease ends.
+// Parts may be made twice without harm, so the next collector is used at once. What the lost one
+// still makes is dropped there when its lease ends.
 func (st *reduction) jobFailed(e JobFailed) {
 	a, ok := st.jobRequests.Get(e.JobRequestID)
 	if !ok {
@@ -202,8 +204,8 @@
 	st.advance(r)
 }
 
-// stageRefusal is what a caller hears whose stage failed; queue is that of its workspace
-// alone, if that is beyond its share.
+// stageRefusal refuses a request whose stage failed. ownQueueWait is the wait of its workspace
+// alone if that is over its share, and 0 otherwise.
 func stageRefusal(pool, reason string, ownQueueWait time.Duration) Refusal {
 	text := "its stage in pool " + pool + " failed: " + reason
 	if reason == string(chutebatch.PartOverloaded) || reason == string(chutebatch.PartLate) {
@@ -225,7 +227,7 @@
 	st.finish(r)
 }
 
-// expectedLateness is how far past its aim a request is expected to be.
+// expectedLateness returns how long after its aim a request is expected to be answered.
 func (r request) expectedLateness(now time.Time) time.Duration {
 	return now.Add(r.callTime()).Sub(r.aimAt)
 }
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -14,17 +14,18 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// Settings are what a node knows from its start.
+// Settings are the node's settings from its start.
 type Settings struct {
 	Self    Peer
 	Retries chutebudget.Settings
-	// ColdFactor is how many times the rate that the operator states for a cold upstream is
-	// sent to it at most; 0 counts as 1.
+	// ColdFactor is the most that is sent to a cold upstream, as a multiple of the rate that the
+	// operator states for it; 0 counts as 1.
 	ColdFactor float64
 	Seed       uint64
 }
 
-// State is all that decisions on relayed requests rest on; copies are cheap and never change.
+// State is all that decisions on relayed requests depend on. Copies are cheap and a State is never
+// modified.
 type State struct {
 	settings    Settings
 	config      chuteroute.Config
@@ -33,29 +34,29 @@
 	requests    *immutable.Map[uint64, request]
 	jobRequests *immutable.Map[uint64, jobRequest]
 	collector   chutebatch.Collector
-	// origins maps a job of the own collector to who asked for it.
+	// origins maps a job of this node's collector to who requested it.
 	origins *immutable.Map[uint64, jobOrigin]
 	// tokens maps a peer's token to its job.
 	tokens *immutable.Map[uint64, uint64]
-	// peersListedAt is when this process first heard a list of nodes.
+	// peersListedAt is when this process first received a list of nodes.
 	peersListedAt time.Time
 	budgets       *immutable.Map[budgetKey, chutebudget.Budget]
-	// upstreamPaces maps an upstream to how quickly it runs calls with parts.
+	// upstreamPaces maps an upstream to how fast it runs calls with parts.
 	upstreamPaces *immutable.Map[string, upstreamPace]
-	// zoneSilence tells which other zones are cut off from this node.
+	// zoneSilence tracks which other zones are cut off from this node.
 	zoneSilence zoneSilence
-	// probing are the silent upstreams that are asked whether they are back.
+	// probing are the silent upstreams that are being probed.
 	probing *immutable.Map[string, bool]
-	// waitReports are how long jobs wait, as last heard, ownWaits the same at the own
-	// collector, as last worked out.
+	// waitReports are the waits of queues as last reported, localWaits those of this node's
+	// collector as last computed.
 	waitReports *immutable.Map[queueKey, waitReport]
 	localWaits  *immutable.Map[queueKey, waitReport]
 	loadReports loadReports
 	// callTimes is how long calls take until their first event.
 	callTimes callTimes
-	// callerWaits tells callers that come back from new ones.
+	// callerWaits distinguishes callers that resend a request from new ones.
 	callerWaits callerWaits
-	// announcedLimits maps an upstream to the last word on its limit among nodes.
+	// announcedLimits maps an upstream to the last announcement of its limit among nodes.
 	announcedLimits *immutable.Map[string, announcedLimit]
 	quarantine      chutequarantine.Quarantine
 	// judgeAt is when the next JudgeDue event is due; zero if none is.
@@ -99,7 +100,7 @@
 	return s.config
 }
 
-// Fleet returns the view of the upstreams.
+// Fleet returns the node's view of the upstreams.
 func (s State) Fleet() chutefleet.Fleet {
 	return s.fleet
 }
@@ -109,39 +110,39 @@
 	return s.requests.Len()
 }
 
-// Peers returns the nodes known, in the order of the list.
+// Peers returns the known nodes, in the order of the list.
 func (s State) Peers() []Peer {
 	return slices.Clone(s.peers.all)
 }
 
-// jobOrigin is who asked the own collector for a job.
+// jobOrigin identifies who requested a job from this node's collector.
 type jobOrigin struct {
-	// jobRequestID is set for a request of this node, token for a peer's.
+	// jobRequestID is set for a request of this node, token for a peer's job.
 	jobRequestID uint64
 	token        uint64
 }
 
-// jobRequest is one request for a stage's parts at a collector.
+// jobRequest is the request for a stage's parts to a collector.
 type jobRequest struct {
 	handle uint64
 	stage  int
 	peer   Peer
 	queue  queueKey
-	// job is the own collector's job; 0 if a peer was asked.
+	// job is the job of this node's collector; 0 if the request went to a peer.
 	job uint64
-	// orphaned says that the peer was lost after it had made the results, so that
-	// nobody but this node frees them.
+	// orphaned says that the peer was lost after it had made the results, so that only this node
+	// frees them.
 	orphaned bool
 }
 
-// reduction collects one reduction: the state so far and the effects so far.
+// reduction is the working state of one Reduce call: the state and the effects so far.
 type reduction struct {
 	State
 	now     time.Time
 	effects []Effect
 }
 
-// Reduce takes one event into account and returns the next state and what is to be done.
+// Reduce applies one event and returns the next state and the effects to carry out.
 func Reduce(s State, now time.Time, event Event) (State, []Effect) {
 	st := reduction{State: s, now: now}
 	st.apply(event)
@@ -178,7 +179,8 @@
 	}
 }
 
-// applyClusterEvent takes in what the platform and the peers say.
+// applyClusterEvent applies events about the configuration, the platform, the peers and the
+// process itself.
 func (st *reduction) applyClusterEvent(event Event) {
 	switch e := event.(type) {
 	case ConfigAdopted:
@@ -207,7 +209,7 @@
 	}
 }
 
-// updatePeers takes in the list of nodes.
+// updatePeers applies the list of nodes.
 func (st *reduction) updatePeers(all []Peer) {
 	if st.peersListedAt.IsZero() {
 		st.peersListedAt = st.now
@@ -215,10 +217,10 @@
 	st.peers = st.peers.withLeftNodes(all, st.now, st.now.Add(st.departedShareTime())).withListed(all)
 }
 
-// adoptConfig takes a configuration that is newer than the one in force.
+// adoptConfig applies a configuration that is newer than the one in force.
 //
-// A read that was under way during a freeze can bring an older version than the
-// one in force; going back would bring back revoked keys and dropped routes.
+// A read that was in progress while the process was frozen can return an older version than the
+// one in force. Adopting it would restore revoked keys and dropped routes.
 func (st *reduction) adoptConfig(cfg chuteroute.Config) {
 	if cfg.Version <= st.config.Version {
 		return
@@ -232,7 +234,7 @@
 	st.effects = append(st.effects, effect)
 }
 
-// newID returns a number that this state has not given out before.
+// newID returns a number that this state has not returned before.
 func (st *reduction) newID() uint64 {
 	st.lastID++
 
@@ -246,7 +248,7 @@
 	return float64(st.random.Uint64()>>(64-bits)) / (1 << bits)
 }
 
-// Idle says whether no request is in flight and nobody holds a job here.
+// Idle reports whether no request is in flight and this node's collector holds no job.
 func (s State) Idle() bool {
 	return s.requests.Len() == 0 && s.collector.Len() == 0
 }
--- a/internal/chuterelay/view.go
+++ b/internal/chuterelay/view.go
@@ -8,7 +8,7 @@
 	"azurechute.example/azurechute/internal/chutequarantine"
 )
 
-// View is what a state dump shows of relayed requests.
+// View is the part of a state dump about relayed requests.
 type View struct {
 	Version   uint64
 	Draining  bool
@@ -21,32 +21,32 @@
 	Evacuated []string `json:",omitempty"`
 	// Budgets are the retry budgets by pool.
 	Budgets []BudgetView `json:",omitempty"`
-	// Quarantined are the requests that are set aside.
+	// Quarantined are the judgements of the requests that are quarantined.
 	Quarantined []chutequarantine.Judgement `json:",omitempty"`
 }
 
-// RequestView is one request in flight.
+// RequestView describes one request in flight.
 type RequestView struct {
 	ID       string
 	Pipeline string
 	Pool     string
 	Age      time.Duration
 	Left     time.Duration
-	// Upstream is where its call runs, empty while its stages do.
+	// Upstream is where its call runs; empty while its stages run.
 	Upstream string `json:",omitempty"`
 	Begun    bool   `json:",omitempty"`
 }
 
-// PeerView is one node with whether it is passed over for its silence.
+// PeerView describes one node; Silent says that it is skipped now.
 type PeerView struct {
 	Peer
 	Silent bool `json:",omitempty"`
 }
 
-// LaneView is one queue of the own collector.
+// LaneView describes one queue of this node's collector.
 type LaneView struct {
 	chutebatch.Lane
-	// Parts wait for a call.
+	// Parts is the number of parts that wait for a call.
 	Parts int
 }
 
--- a/internal/chuterelay/warmup.go
+++ b/internal/chuterelay/warmup.go
@@ -5,10 +5,10 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// coldBounds returns what the upstreams of each pool bear while they are cold, for the pools
-// of which the operator says so.
+// coldBounds returns the bounds for cold upstreams, for the pools for which the operator states a
+// rate.
 //
-// What the operator tolerates beyond the rate is left as a reserve: for nodes whose lists of
+// What the operator tolerates beyond that rate is kept as a reserve: for nodes whose lists of
 // nodes differ, and for calls that were sent before an upstream was known to be cold.
 func (s Settings) coldBounds(pools map[string]chuteroute.Pool) map[string]chutefleet.ColdBound {
 	bounds := map[string]chutefleet.ColdBound{}
--- a/internal/chuterelay/zones.go
+++ b/internal/chuterelay/zones.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	// minSilentEndpoints is how many parties of a zone have to be silent, with no sign of
-	// life from any other there since, until the zone is taken for cut off: one can
-	// be frozen or without power.
+	// minSilentEndpoints is how many nodes and upstreams of a zone have to be silent, with no
+	// reply from any other there since, until the zone counts as cut off. A single one can be
+	// frozen or without power.
 	minSilentEndpoints = 2
-	// silenceTTL is how long a silence counts. Silent upstreams are probed more often
-	// than that, so a zone stays cut off until the first probe gets through.
+	// silenceTTL is how long a silence counts. Silent upstreams are probed more often than that,
+	// so a zone stays cut off until the first probe gets through.
 	silenceTTL = 2 * time.Second
 )
 
-// zoneSilence is the evidence on which other zones are cut off from this node.
+// zoneSilence records which endpoints, nodes and upstreams, of other zones did not reply. From
+// that this node concludes which zones are cut off.
 //
-// When a zone is cut off, each of its nodes and upstreams is found out only by a
-// connection attempt that takes 0.35 s to fail. Found out one by one, they cost
-// nearly every request that is meant for the zone one or more such attempts.
+// When a zone is cut off, each of its nodes and upstreams is found out only by a connection
+// attempt that takes 0.35 s to fail. Found out separately, they cost nearly every request that is
+// meant for the zone one or more such attempts.
 type zoneSilence struct {
 	own string
-	// silent maps a zone to the parties that were silent, with the times.
+	// silent maps a zone to its silent endpoints, with the times.
 	silent *immutable.Map[string, map[string]time.Time]
 }
 
@@ -35,7 +36,7 @@
 	return zoneSilence{own: own, silent: immutable.NewMap[string, map[string]time.Time](nil)}
 }
 
-// withSilent notes that nothing came back from a node or upstream.
+// withSilent records that nothing came back from an endpoint.
 func (z zoneSilence) withSilent(zone, endpoint string, now time.Time) zoneSilence {
 	known, _ := z.silent.Get(zone)
 	next := maps.Clone(known)
@@ -49,7 +50,8 @@
 	return z
 }
 
-// withStillSilent notes that a party that was silent is so still.
+// withStillSilent records another silence of an endpoint that is silent already; it ignores all
+// others.
 func (z zoneSilence) withStillSilent(zone, endpoint string, now time.Time) zoneSilence {
 	if known, _ := z.silent.Get(zone); !known[endpoint].IsZero() {
 		return z.withSilent(zone, endpoint, now)
@@ -58,7 +60,7 @@
 	return z
 }
 
-// withReply notes a sign of life from a zone.
+// withReply clears a zone's silences after a reply from it.
 func (z zoneSilence) withReply(zone string) zoneSilence {
 	if _, ok := z.silent.Get(zone); ok {
 		z.silent = z.silent.Delete(zone)
@@ -67,7 +69,7 @@
 	return z
 }
 
-// cutOff says whether another zone is taken for cut off.
+// cutOff reports whether another zone counts as cut off.
 func (z zoneSilence) cutOff(zone string, now time.Time) bool {
 	if zone == z.own {
 		return false
@@ -83,7 +85,7 @@
 	return silentCount >= minSilentEndpoints
 }
 
-// allCutOff lists the zones that are taken for cut off.
+// allCutOff lists the zones that count as cut off, sorted.
 func (z zoneSilence) allCutOff(now time.Time) []string {
 	var cutOffZones []string
 	for i := z.silent.Iterator(); !i.Done(); {
@@ -96,14 +98,14 @@
 	return cutOffZones
 }
 
-// silentEndpoints lists the silent parties of a zone, sorted.
+// silentEndpoints lists the silent endpoints of a zone, sorted.
 func (z zoneSilence) silentEndpoints(zone string) []string {
 	known, _ := z.silent.Get(zone)
 
 	return slices.Sorted(maps.Keys(known))
 }
 
-// recordSilence takes in that nothing came back from a node or upstream of a zone.
+// recordSilence records that nothing came back from an endpoint of a zone.
 func (st *reduction) recordSilence(zone, endpoint string) {
 	wasCutOff := st.zoneSilence.cutOff(zone, st.now)
 	st.zoneSilence = st.zoneSilence.withSilent(zone, endpoint, st.now)
@@ -112,7 +114,7 @@
 	}
 }
 
-// recordReply takes in a sign of life from a zone.
+// recordReply records a reply from a zone.
 func (st *reduction) recordReply(zone string) {
 	wasCutOff := st.zoneSilence.cutOff(zone, st.now)
 	st.zoneSilence = st.zoneSilence.withReply(zone)
@@ -121,7 +123,7 @@
 	}
 }
 
-// recordZoneReply takes in what the end of a call says of the upstream's zone.
+// recordZoneReply records what the end of a call shows about the upstream's zone.
 func (st *reduction) recordZoneReply(u chutefleet.Upstream, silent, answered bool) {
 	switch {
 	case silent:
@@ -131,7 +133,7 @@
 	}
 }
 
-// reachableOrOwn returns the zone, or the own one in place of one that is cut off.
+// reachableOrOwn returns the zone, or this node's zone if that one is cut off.
 func (z zoneSilence) reachableOrOwn(zone string, now time.Time) string {
 	if z.cutOff(zone, now) {
 		return z.own
