--- a/internal/chutebatch/admit.go
+++ b/internal/chutebatch/admit.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// usableRate is the part of the upstreams' full rate that parts get in practice:
+// achievableRate is the part of the upstreams' full rate that parts get in practice:
 // calls are not always full, and room for results is short at times.
-const usableRate = 0.8
+const achievableRate = 0.8
 
 // Admits says whether a job can still be of use behind the parts that go ahead of
 // it, for which it waits here and at the stages that follow.
@@ -14,43 +14,43 @@
 // back. A job is only turned away for the queue in front of it, never for being late
 // by itself.
 func (c Collector) Admits(j Job, wait time.Duration, now time.Time) bool {
-	full := c.pools[j.Pool].FullCall()
-	if wait <= full {
+	fullCallTime := c.pools[j.Pool].FullCall()
+	if wait <= fullCallTime {
 		return true
 	}
 
-	return !now.Add(wait + full + j.Rest).After(WorthEnding(j.AimAt, j.Deadline))
+	return !now.Add(wait + fullCallTime + j.TimeAfterStage).After(AdmissionDeadline(j.TargetAt, j.Deadline))
 }
 
-// Wait is how long the parts that go ahead of those of a job at its level take.
-func (c Collector) Wait(j Job, seats []Seat, now time.Time) time.Duration {
+// EstimateWait is how long the parts that go ahead of those of a job at its level take.
+func (c Collector) EstimateWait(j Job, candidates []Candidate, now time.Time) time.Duration {
 	batching, ok := c.pools[j.Pool]
 	if !ok {
 		return 0
 	}
 	j.Level = c.Level(j)
-	own := j.place()
-	bound := lateAfter(batching, now)
-	late := own.startBy < bound
-	ahead := 0
-	c.walk(j.Lane(), now, func(other *job) bool {
-		at := other.place()
-		otherLate := at.startBy < bound
-		if otherLate && !late || otherLate == late && !at.before(own) {
+	ownKey := j.queueKey()
+	earliestEnd := fullCallEnd(batching, now)
+	ownLate := ownKey.dueBy < earliestEnd
+	partsAhead := 0
+	c.visitWaiting(j.Lane(), now, func(other *jobState) bool {
+		otherKey := other.queueKey()
+		otherLate := otherKey.dueBy < earliestEnd
+		if otherLate && !ownLate || otherLate == ownLate && !otherKey.before(ownKey) {
 			return false
 		}
-		ahead += len(other.pending)
+		partsAhead += len(other.pending)
 
 		return true
 	})
-	perSecond := 0.0
-	for _, s := range seats {
-		perSecond += usableRate * float64(batching.Slots*batching.BatchSize) /
+	partsPerSecond := 0.0
+	for _, s := range candidates {
+		partsPerSecond += achievableRate * float64(batching.Slots*batching.BatchSize) /
 			(batching.FullCall().Seconds() * max(1, s.Slowness))
 	}
-	if perSecond == 0 {
+	if partsPerSecond == 0 {
 		return 0
 	}
 
-	return time.Duration(float64(ahead) / perSecond * float64(time.Second))
+	return time.Duration(float64(partsAhead) / partsPerSecond * float64(time.Second))
 }
--- a/internal/chutebatch/collector.go
+++ b/internal/chutebatch/collector.go
@@ -25,33 +25,33 @@
 	Key string
 	// Inputs are the results that the stage takes in.
 	Inputs []string
-	// InputsAt lists the incarnations that keep the inputs.
-	InputsAt []string
+	// InputUpstreams lists the incarnations that keep the inputs.
+	InputUpstreams []string
 	// ResultBytes is the approximate size of one part's result.
 	ResultBytes int64
 	Priority    int
-	// AimAt is when the whole request should be answered, Deadline when nobody waits any more.
-	AimAt    time.Time
+	// TargetAt is when the whole request should be answered, Deadline when nobody waits any more.
+	TargetAt time.Time
 	Deadline time.Time
-	// Rest is the time that the request needs after this stage.
-	Rest time.Duration
+	// TimeAfterStage is the time that the request needs after this stage.
+	TimeAfterStage time.Duration
 	// Workspace is whose request it is, Pipeline what it runs on.
 	Workspace string
 	Pipeline  string
 	// Fingerprint is the same for all sendings of the request.
 	Fingerprint string
-	// Alone says that its parts share no call with others': upstreams have ended under
+	// Isolated says that its parts share no call with others': upstreams have ended under
 	// its request, and the next end is to tell whether that was its doing.
-	Alone bool
+	Isolated bool
 	// Level is how far the job is beyond its workspace's share of the queue, from 0; the
 	// collector sets it.
 	Level int
-	// Then lists the pools of the stages that follow, on the way that takes longest.
-	Then []string
+	// FollowingPools lists the pools of the stages that follow, on the way that takes longest.
+	FollowingPools []string
 	// Zone is where the results are needed.
 	Zone string
-	// Since is when the job came to this collector.
-	Since time.Time
+	// QueuedAt is when the job came to this collector.
+	QueuedAt time.Time
 }
 
 // Result is where one part's result lies.
@@ -78,12 +78,12 @@
 	Parts    []Part
 	// Jobs are the parts' jobs, in the same order.
 	Jobs []Job
-	// spare is the room that was believed to be left at the upstream beside the parts.
-	spare int64
+	// freeBytes is the room that was believed to be left at the upstream beside the parts.
+	freeBytes int64
 }
 
-// PartEnd is how one part of a call ended.
-type PartEnd struct {
+// PartOutcome is how one part of a call ended.
+type PartOutcome struct {
 	// Ref is empty if the part failed.
 	Ref string
 	// Failure is empty if the part succeeded.
@@ -99,61 +99,61 @@
 	PartLate PartFailure = "Late"
 	// PartInputGone: one of its inputs is not there any more.
 	PartInputGone PartFailure = "InputGone"
-	// PartNoRoom: the upstream has no room for the result.
-	PartNoRoom PartFailure = "NoRoom"
+	// PartNoMemory: the upstream has no room for the result.
+	PartNoMemory PartFailure = "NoRoom"
 	// PartErrored: the upstream failed on it.
 	PartErrored PartFailure = "Errored"
 	// PartOverloaded: its job was turned away for the queue in front of it.
 	PartOverloaded PartFailure = "Overloaded"
-	// PartEnded: upstreams have ended while they ran its job.
-	PartEnded PartFailure = "UpstreamsEnded"
+	// PartUpstreamsEnded: upstreams have ended while they ran its job.
+	PartUpstreamsEnded PartFailure = "UpstreamsEnded"
 	// PartQuarantined: its request is set aside because upstreams end under it.
 	PartQuarantined PartFailure = "Quarantined"
 )
 
-// job is a job with what has become of its parts.
-type job struct {
+// jobState is a job with what has become of its parts.
+type jobState struct {
 	Job
 	// pending are the parts that wait for a call.
-	pending []int
-	results []Result
-	missing int
-	tries   int
-	// ended counts the upstreams that ended while they ran the job's parts.
-	ended int
+	pending        []int
+	results        []Result
+	missingResults int
+	failures       int
+	// endedUpstreams counts the upstreams that ended while they ran the job's parts.
+	endedUpstreams int
 }
 
 // Collector is one node's queue of parts and its calls in flight, over all pools.
 type Collector struct {
-	jobs *immutable.Map[uint64, job]
+	jobs *immutable.Map[uint64, jobState]
 	// queues holds the jobs with waiting parts, by lane.
 	queues *immutable.Map[Lane, queue]
 	calls  *immutable.Map[uint64, Call]
-	// rooms maps an upstream to what it holds.
-	rooms *immutable.Map[string, room]
-	// pauses maps an upstream to the time until which it gets no call.
-	pauses *immutable.Map[string, time.Time]
-	// strangers maps an upstream to room that others take there.
-	strangers *immutable.Map[string, stranger]
-	// heldBack maps an upstream whose slot is kept free for room to the time since when.
-	heldBack *immutable.Map[string, time.Time]
+	// memories maps an upstream to what it holds.
+	memories *immutable.Map[string, resultMemory]
+	// pausedUntil maps an upstream to the time until which it gets no call.
+	pausedUntil *immutable.Map[string, time.Time]
+	// foreignUsages maps an upstream to room that others take there.
+	foreignUsages *immutable.Map[string, foreignUsage]
+	// delayedSince maps an upstream whose slot is kept free for room to the time since when.
+	delayedSince *immutable.Map[string, time.Time]
 	// demand is what workspaces usually ask for, by lane.
-	demand   *immutable.Map[Lane, chutefair.Demand]
-	pools    map[string]chuteroute.Batching
-	lastCall uint64
+	demand     *immutable.Map[Lane, chutefair.Demand]
+	pools      map[string]chuteroute.Batching
+	lastCallID uint64
 }
 
 // New returns a collector without work.
 func New() Collector {
 	return Collector{
-		jobs:      immutable.NewMap[uint64, job](nil),
-		queues:    NewLaneMap[queue](),
-		calls:     immutable.NewMap[uint64, Call](nil),
-		rooms:     immutable.NewMap[string, room](nil),
-		pauses:    immutable.NewMap[string, time.Time](nil),
-		strangers: immutable.NewMap[string, stranger](nil),
-		heldBack:  immutable.NewMap[string, time.Time](nil),
-		demand:    NewLaneMap[chutefair.Demand](),
+		jobs:          immutable.NewMap[uint64, jobState](nil),
+		queues:        NewLaneMap[queue](),
+		calls:         immutable.NewMap[uint64, Call](nil),
+		memories:      immutable.NewMap[string, resultMemory](nil),
+		pausedUntil:   immutable.NewMap[string, time.Time](nil),
+		foreignUsages: immutable.NewMap[string, foreignUsage](nil),
+		delayedSince:  immutable.NewMap[string, time.Time](nil),
+		demand:        NewLaneMap[chutefair.Demand](),
 	}
 }
 
@@ -176,62 +176,62 @@
 	if !ok {
 		demand = chutefair.NewDemand()
 	}
-	c.demand = c.demand.Set(j.Lane(), demand.With(j.Workspace, float64(j.Parts), j.Since))
-	entry := job{Job: j, missing: j.Parts, results: make([]Result, j.Parts)}
+	c.demand = c.demand.Set(j.Lane(), demand.With(j.Workspace, float64(j.Parts), j.QueuedAt))
+	entry := jobState{Job: j, missingResults: j.Parts, results: make([]Result, j.Parts)}
 	for i := range j.Parts {
 		entry.pending = append(entry.pending, i)
 	}
 
-	return c.withJob(entry)
+	return c.withJobState(entry)
 }
 
-// Has says whether the job is known and neither dropped nor failed.
-func (c Collector) Has(id uint64) bool {
+// HasJob says whether the job is known and neither dropped nor failed.
+func (c Collector) HasJob(id uint64) bool {
 	_, ok := c.jobs.Get(id)
 
 	return ok
 }
 
-// Len counts the jobs that are known.
-func (c Collector) Len() int {
+// JobCount counts the jobs that are known.
+func (c Collector) JobCount() int {
 	return c.jobs.Len()
 }
 
-// Free names results that an upstream need not keep any longer.
-type Free struct {
+// FreeRequest names results that an upstream need not keep any longer.
+type FreeRequest struct {
 	Upstream string
 	Refs     []string
 }
 
 // WithoutJob forgets a job whose results nobody needs any more, and returns what may be freed.
-func (c Collector) WithoutJob(id uint64) (Collector, []Free) {
+func (c Collector) WithoutJob(id uint64) (Collector, []FreeRequest) {
 	j, ok := c.jobs.Get(id)
 	if !ok {
 		return c, nil
 	}
-	c = c.dropped(j)
-	var frees []Free
+	c = c.withoutJobState(j)
+	var toFree []FreeRequest
 	for _, r := range j.results {
 		if r.Ref != "" {
-			frees = addFree(frees, r)
+			toFree = appendFree(toFree, r)
 		}
 	}
-	for _, f := range frees {
-		r, _ := c.rooms.Get(f.Upstream)
-		c.rooms = c.rooms.Set(f.Upstream, r.without(func(h held) bool { return slices.Contains(f.Refs, h.ref) }))
+	for _, f := range toFree {
+		r, _ := c.memories.Get(f.Upstream)
+		c.memories = c.memories.Set(f.Upstream, r.without(func(h allocation) bool { return slices.Contains(f.Refs, h.ref) }))
 	}
 
-	return c, frees
+	return c, toFree
 }
 
-func addFree(frees []Free, r Result) []Free {
-	for i := range frees {
-		if frees[i].Upstream == r.Upstream {
-			frees[i].Refs = append(frees[i].Refs, r.Ref)
+func appendFree(toFree []FreeRequest, result Result) []FreeRequest {
+	for i := range toFree {
+		if toFree[i].Upstream == result.Upstream {
+			toFree[i].Refs = append(toFree[i].Refs, result.Ref)
 
-			return frees
+			return toFree
 		}
 	}
 
-	return append(frees, Free{Upstream: r.Upstream, Refs: []string{r.Ref}})
+	return append(toFree, FreeRequest{Upstream: result.Upstream, Refs: []string{result.Ref}})
 }
--- a/internal/chutebatch/collector_test.go
+++ b/internal/chutebatch/collector_test.go
@@ -18,10 +18,10 @@
 	fullCall = callTime + 8*partTime
 )
 
-// pool returns a collector for pool "p" whose upstreams take 8 parts a call and have the given room.
-func pool(room int64) Collector {
+// newCollector returns a collector for pool "p" whose upstreams take 8 parts a call and have the given room.
+func newCollector(memory int64) Collector {
 	return New().WithPools(map[string]chuteroute.Pool{"p": {Name: "p", Batching: &chuteroute.Batching{
-		Slots: 1, BatchSize: 8, CallTime: callTime, PartTime: partTime, Room: room, ResultTTL: 4 * time.Second,
+		Slots: 1, BatchSize: 8, CallTime: callTime, PartTime: partTime, Room: memory, ResultTTL: 4 * time.Second,
 	}}})
 }
 
@@ -30,33 +30,33 @@
 func newJob(id uint64, parts int) Job {
 	return Job{
 		ID: id, Request: fmt.Sprint("r", id), Pool: "p", Parts: parts, ResultBytes: 10,
-		AimAt: start.Add(2 * time.Second), Deadline: start.Add(6 * time.Second), Since: start,
+		TargetAt: start.Add(2 * time.Second), Deadline: start.Add(6 * time.Second), QueuedAt: start,
 	}
 }
 
-func seats(n int) []Seat {
-	var all []Seat
+func testCandidates(n int) []Candidate {
+	var all []Candidate
 	for i := range n {
-		all = append(all, Seat{Upstream: fmt.Sprint("u", i), Zone: fmt.Sprint("z", i)})
+		all = append(all, Candidate{Upstream: fmt.Sprint("u", i), Zone: fmt.Sprint("z", i)})
 	}
 
 	return all
 }
 
-// answered ends a call with a result for each part.
-func answered(c Collector, call Call, now time.Time) (Collector, Ended) {
-	ends := make([]PartEnd, len(call.Parts))
+// endAnswered ends a call with a result for each part.
+func endAnswered(c Collector, call Call, now time.Time) (Collector, JobChanges) {
+	outcomes := make([]PartOutcome, len(call.Parts))
 	for i, p := range call.Parts {
-		ends[i].Ref = fmt.Sprintf("%s/%d.%d", call.Upstream, p.Job, p.Index)
+		outcomes[i].Ref = fmt.Sprintf("%s/%d.%d", call.Upstream, p.Job, p.Index)
 	}
 
-	return c.WithCallEnded(call.ID, CallAnswered, ends, "z", 100, now)
+	return c.WithCallEnded(call.ID, CallAnswered, outcomes, "z", 100, now)
 }
 
-// crowded is a pool of one upstream whose room holds a job's results.
-func crowded(room int64, j Job) Collector {
-	col, calls := pool(room).WithJob(j).Fill(lane, seats(1), start)
-	col, _ = answered(col, calls[0], start)
+// collectorWithResults is a pool of one upstream whose room holds a job's results.
+func collectorWithResults(memory int64, j Job) Collector {
+	col, calls := newCollector(memory).WithJob(j).FillSlots(lane, testCandidates(1), start)
+	col, _ = endAnswered(col, calls[0], start)
 
 	return col
 }
@@ -76,19 +76,19 @@
 func TestFill(t *testing.T) {
 	t.Run("parts of different requests share a call", func(t *testing.T) {
 		c := qt.New(t)
-		col := pool(1000)
+		col := newCollector(1000)
 		for id := range uint64(3) {
 			col = col.WithJob(newJob(id+1, 3))
 		}
-		_, calls := col.Fill(lane, seats(1), start)
+		_, calls := col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 		expectParts(c, calls, 1, 1, 1, 2, 2, 2, 3, 3)
 	})
 
 	t.Run("a busy upstream gets no second call", func(t *testing.T) {
 		c := qt.New(t)
-		col, _ := pool(1000).WithJob(newJob(1, 8)).Fill(lane, seats(1), start)
-		_, calls := col.WithJob(newJob(2, 1)).Fill(lane, seats(1), start)
+		col, _ := newCollector(1000).WithJob(newJob(1, 8)).FillSlots(lane, testCandidates(1), start)
+		_, calls := col.WithJob(newJob(2, 1)).FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
 	})
 
@@ -96,8 +96,8 @@
 		c := qt.New(t)
 		late, soon, urgent := newJob(1, 4), newJob(2, 4), newJob(3, 4)
 		late.Priority, soon.Priority = 1, 1
-		soon.Rest = time.Second
-		_, calls := pool(1000).WithJob(late).WithJob(soon).WithJob(urgent).Fill(lane, seats(1), start)
+		soon.TimeAfterStage = time.Second
+		_, calls := newCollector(1000).WithJob(late).WithJob(soon).WithJob(urgent).FillSlots(lane, testCandidates(1), start)
 		expectParts(c, calls, 3, 3, 3, 3, 2, 2, 2, 2)
 	})
 
@@ -106,8 +106,8 @@
 		// make the next ones miss theirs, and so on to the end of the burst.
 		c := qt.New(t)
 		missed := newJob(1, 8)
-		missed.AimAt = start
-		_, calls := pool(1000).WithJob(missed).WithJob(newJob(2, 8)).Fill(lane, seats(1), start)
+		missed.TargetAt = start
+		_, calls := newCollector(1000).WithJob(missed).WithJob(newJob(2, 8)).FillSlots(lane, testCandidates(1), start)
 		expectParts(c, calls, 2, 2, 2, 2, 2, 2, 2, 2)
 	})
 
@@ -115,34 +115,34 @@
 		c := qt.New(t)
 		sharded := newJob(1, 1)
 		sharded.Shard = "z1"
-		col := pool(1000).WithJob(sharded)
-		_, calls := col.Fill(lane, seats(1), start)
+		col := newCollector(1000).WithJob(sharded)
+		_, calls := col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(Lane{Pool: "p", Shard: "z1"}, seats(1), start)
+		_, calls = col.FillSlots(Lane{Pool: "p", Shard: "z1"}, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
 	t.Run("heavy results are made where they are needed, for a while", func(t *testing.T) {
 		c := qt.New(t)
 		heavy := newJob(1, 1)
-		heavy.ResultBytes = heavyBytes
+		heavy.ResultBytes = largeDataBytes
 		heavy.Zone = "elsewhere"
-		col := pool(10 * heavyBytes).WithJob(heavy)
-		_, calls := col.Fill(lane, seats(1), start)
+		col := newCollector(10 * largeDataBytes).WithJob(heavy)
+		_, calls := col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(fullCall))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(fullCall))
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
 	t.Run("a slow upstream gets parts only if they end in time there", func(t *testing.T) {
 		c := qt.New(t)
-		slow := []Seat{{Upstream: "u", Slowness: 4}}
+		slow := []Candidate{{Upstream: "u", Slowness: 4}}
 		waited := start.Add(fullCall)
-		_, calls := pool(1000).WithJob(newJob(1, 1)).Fill(lane, slow, waited)
+		_, calls := newCollector(1000).WithJob(newJob(1, 1)).FillSlots(lane, slow, waited)
 		c.Assert(calls, qt.HasLen, 1)
-		pressed := newJob(1, 1)
-		pressed.AimAt = waited.Add(time.Second)
-		_, calls = pool(1000).WithJob(pressed).Fill(lane, slow, waited)
+		urgentTarget := newJob(1, 1)
+		urgentTarget.TargetAt = waited.Add(time.Second)
+		_, calls = newCollector(1000).WithJob(urgentTarget).FillSlots(lane, slow, waited)
 		c.Assert(calls, qt.HasLen, 0)
 	})
 }
@@ -150,24 +150,24 @@
 func TestRoom(t *testing.T) {
 	t.Run("results that are not freed leave no room for more, until they run out", func(t *testing.T) {
 		c := qt.New(t)
-		col, calls := pool(50).WithJob(newJob(1, 5)).Fill(lane, seats(1), start)
-		col, ended := answered(col, calls[0], start)
-		c.Assert(ended.Made, qt.DeepEquals, []uint64{1})
+		col, calls := newCollector(50).WithJob(newJob(1, 5)).FillSlots(lane, testCandidates(1), start)
+		col, ended := endAnswered(col, calls[0], start)
+		c.Assert(ended.Completed, qt.DeepEquals, []uint64{1})
 		col = col.WithJob(newJob(2, 1))
-		_, calls = col.Fill(lane, seats(1), start)
+		_, calls = col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(4*time.Second))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(4*time.Second))
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
 	t.Run("freed results make room at once", func(t *testing.T) {
 		c := qt.New(t)
-		col, calls := pool(50).WithJob(newJob(1, 5)).Fill(lane, seats(1), start)
-		col, _ = answered(col, calls[0], start)
+		col, calls := newCollector(50).WithJob(newJob(1, 5)).FillSlots(lane, testCandidates(1), start)
+		col, _ = endAnswered(col, calls[0], start)
 		col, frees := col.WithoutJob(1)
 		c.Assert(frees, qt.HasLen, 1)
 		c.Assert(frees[0].Refs, qt.HasLen, 5)
-		_, calls = col.WithJob(newJob(2, 1)).Fill(lane, seats(1), start)
+		_, calls = col.WithJob(newJob(2, 1)).FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
@@ -175,32 +175,32 @@
 		// Room for one part is left while eight wait. Its call would take the slot for
 		// most of the time of a full one, and the room comes free in the middle of it.
 		c := qt.New(t)
-		col := crowded(80, newJob(1, 7))
+		col := collectorWithResults(80, newJob(1, 7))
 		col = col.WithJob(newJob(2, 8))
-		_, calls := col.Fill(lane, seats(1), start)
+		_, calls := col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
 		freed, _ := col.WithoutJob(1)
-		_, calls = freed.Fill(lane, seats(1), start)
+		_, calls = freed.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 		c.Assert(calls[0].Parts, qt.HasLen, 8)
 	})
 
 	t.Run("it does not wait for long where the room stays taken", func(t *testing.T) {
 		c := qt.New(t)
-		col := crowded(80, newJob(1, 7))
-		col, calls := col.WithJob(newJob(2, 8)).Fill(lane, seats(1), start)
+		col := collectorWithResults(80, newJob(1, 7))
+		col, calls := col.WithJob(newJob(2, 8)).FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(callTime-1))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(callTime-1))
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(callTime))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(callTime))
 		c.Assert(calls, qt.HasLen, 1)
 		c.Assert(calls[0].Parts, qt.HasLen, 1)
 	})
 
 	t.Run("with few parts waiting there is nothing to wait for", func(t *testing.T) {
 		c := qt.New(t)
-		col := crowded(80, newJob(1, 7))
-		_, calls := col.WithJob(newJob(2, 2)).Fill(lane, seats(1), start)
+		col := collectorWithResults(80, newJob(1, 7))
+		_, calls := col.WithJob(newJob(2, 2)).FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
@@ -209,13 +209,13 @@
 		// counts it. The next collector's part is refused, and asking again at once
 		// would cost a call each time.
 		c := qt.New(t)
-		col, calls := pool(50).WithJob(newJob(1, 1)).Fill(lane, seats(1), start)
-		col, ended := col.WithCallEnded(calls[0].ID, CallAnswered, []PartEnd{{Failure: PartNoRoom}}, "z", 100, start)
+		col, calls := newCollector(50).WithJob(newJob(1, 1)).FillSlots(lane, testCandidates(1), start)
+		col, ended := col.WithCallEnded(calls[0].ID, CallAnswered, []PartOutcome{{Failure: PartNoMemory}}, "z", 100, start)
 		c.Assert(ended.Failed, qt.HasLen, 0)
-		c.Assert(col.Waiting(lane), qt.Equals, 1)
-		_, calls = col.Fill(lane, seats(1), start)
+		c.Assert(col.WaitingParts(lane), qt.Equals, 1)
+		_, calls = col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(2*time.Second))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(2*time.Second))
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
@@ -223,33 +223,33 @@
 		// Results are somewhat larger than announced, and the last part of a call finds
 		// no room. While the call ran, other results were freed: that room is there.
 		c := qt.New(t)
-		col, calls := pool(80).WithJob(newJob(1, 4)).Fill(lane, seats(1), start)
-		col, _ = answered(col, calls[0], start)
-		col, calls = col.WithJob(newJob(2, 4)).Fill(lane, seats(1), start)
+		col, calls := newCollector(80).WithJob(newJob(1, 4)).FillSlots(lane, testCandidates(1), start)
+		col, _ = endAnswered(col, calls[0], start)
+		col, calls = col.WithJob(newJob(2, 4)).FillSlots(lane, testCandidates(1), start)
 		col, _ = col.WithoutJob(1)
-		ends := []PartEnd{{Ref: "a"}, {Ref: "b"}, {Ref: "c"}, {Failure: PartNoRoom}}
+		ends := []PartOutcome{{Ref: "a"}, {Ref: "b"}, {Ref: "c"}, {Failure: PartNoMemory}}
 		col, _ = col.WithCallEnded(calls[0].ID, CallAnswered, ends, "z", 100, start)
-		c.Assert(col.left("p", "u0", start), qt.Equals, int64(80-30-10))
+		c.Assert(col.freeBytes("p", "u0", start), qt.Equals, int64(80-30-10))
 	})
 
 	t.Run("a part waits for room as long as it is of use, without repeats to spend", func(t *testing.T) {
 		// All nodes were killed, and what they had made fills the room for seconds. The
 		// callers have time, and nobody has yet earned repeats.
 		c := qt.New(t)
-		col := pool(50).WithJob(newJob(1, 1))
+		col := newCollector(50).WithJob(newJob(1, 1))
 		now, refusals := start, 0
 		for ; now.Before(start.Add(3 * time.Second)); now = now.Add(20 * time.Millisecond) {
 			var calls []Call
-			col, calls = col.Fill(lane, seats(1), now)
+			col, calls = col.FillSlots(lane, testCandidates(1), now)
 			for _, call := range calls {
 				refusals++
-				var ended Ended
-				col, ended = col.WithCallEnded(call.ID, CallAnswered, []PartEnd{{Failure: PartNoRoom}}, "z", 0, now)
+				var ended JobChanges
+				col, ended = col.WithCallEnded(call.ID, CallAnswered, []PartOutcome{{Failure: PartNoMemory}}, "z", 0, now)
 				c.Assert(ended.Failed, qt.HasLen, 0)
 			}
 		}
 		c.Assert(refusals < 10, qt.IsTrue, qt.Commentf("%d refusals", refusals))
-		_, calls := col.Fill(lane, seats(1), start.Add(4*time.Second))
+		_, calls := col.FillSlots(lane, testCandidates(1), start.Add(4*time.Second))
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
@@ -257,18 +257,18 @@
 		// After a kill the upstream is full for seconds. Each refusal leaves a little
 		// less unknown; learnt from alone, the last one says that there is room.
 		c := qt.New(t)
-		col := pool(50)
+		col := newCollector(50)
 		now := start
 		refusals := 0
 		for id := range uint64(200) {
 			now = now.Add(10 * time.Millisecond)
 			var calls []Call
-			col, calls = col.WithJob(newJob(id+1, 1)).Fill(lane, seats(1), now)
+			col, calls = col.WithJob(newJob(id+1, 1)).FillSlots(lane, testCandidates(1), now)
 			for _, call := range calls {
 				refusals++
-				ends := make([]PartEnd, len(call.Parts))
+				ends := make([]PartOutcome, len(call.Parts))
 				for i := range ends {
-					ends[i].Failure = PartNoRoom
+					ends[i].Failure = PartNoMemory
 				}
 				col, _ = col.WithCallEnded(call.ID, CallAnswered, ends, "z", 100, now)
 			}
@@ -278,18 +278,18 @@
 
 	t.Run("a result whose caller left meanwhile is freed", func(t *testing.T) {
 		c := qt.New(t)
-		col, calls := pool(50).WithJob(newJob(1, 2)).Fill(lane, seats(1), start)
+		col, calls := newCollector(50).WithJob(newJob(1, 2)).FillSlots(lane, testCandidates(1), start)
 		col, _ = col.WithoutJob(1)
-		col, ended := answered(col, calls[0], start)
-		c.Assert(ended.Frees, qt.HasLen, 1)
-		c.Assert(col.left("p", "u0", start), qt.Equals, int64(50))
+		col, ended := endAnswered(col, calls[0], start)
+		c.Assert(ended.ToFree, qt.HasLen, 1)
+		c.Assert(col.freeBytes("p", "u0", start), qt.Equals, int64(50))
 	})
 }
 
 func TestFailedCalls(t *testing.T) {
 	t.Run("parts of a lost call wait again, within the allowance", func(t *testing.T) {
 		c := qt.New(t)
-		col, calls := pool(1000).WithJob(newJob(1, 2)).WithJob(newJob(2, 2)).Fill(lane, seats(1), start)
+		col, calls := newCollector(1000).WithJob(newJob(1, 2)).WithJob(newJob(2, 2)).FillSlots(lane, testCandidates(1), start)
 		_, ended := col.WithCallEnded(calls[0].ID, CallLost, nil, "", 2, start)
 		c.Assert(ended.Requeued, qt.Equals, 2)
 		c.Assert(ended.Failed, qt.HasLen, 1)
@@ -300,33 +300,33 @@
 		// Another collector holds its slot: two work side by side while nodes
 		// disagree on the list.
 		c := qt.New(t)
-		col, calls := pool(1000).WithJob(newJob(1, 1)).Fill(lane, seats(1), start)
+		col, calls := newCollector(1000).WithJob(newJob(1, 1)).FillSlots(lane, testCandidates(1), start)
 		col, _ = col.WithCallEnded(calls[0].ID, CallRefused, nil, "", 10, start)
-		_, calls = col.Fill(lane, seats(1), start)
+		_, calls = col.FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 0)
-		_, calls = col.Fill(lane, seats(1), start.Add(refusedPause))
+		_, calls = col.FillSlots(lane, testCandidates(1), start.Add(refusedPause))
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
 	t.Run("a missing input fails the job and frees what it has", func(t *testing.T) {
 		c := qt.New(t)
-		col, calls := pool(1000).WithJob(newJob(1, 2)).Fill(lane, seats(1), start)
-		ends := []PartEnd{{Ref: "a"}, {Failure: PartInputGone}}
+		col, calls := newCollector(1000).WithJob(newJob(1, 2)).FillSlots(lane, testCandidates(1), start)
+		ends := []PartOutcome{{Ref: "a"}, {Failure: PartInputGone}}
 		col, ended := col.WithCallEnded(calls[0].ID, CallAnswered, ends, "z", 10, start)
 		c.Assert(ended.Failed, qt.HasLen, 1)
 		c.Assert(ended.Failed[0].Reason, qt.Equals, PartInputGone)
-		c.Assert(ended.Frees, qt.HasLen, 1)
-		c.Assert(col.Len(), qt.Equals, 0)
+		c.Assert(ended.ToFree, qt.HasLen, 1)
+		c.Assert(col.JobCount(), qt.Equals, 0)
 	})
 
 	t.Run("a part that fails again and again fails its job", func(t *testing.T) {
 		c := qt.New(t)
-		col := pool(1000).WithJob(newJob(1, 1))
+		col := newCollector(1000).WithJob(newJob(1, 1))
 		failed := 0
 		for now := start; failed == 0 && now.Before(start.Add(time.Second)); now = now.Add(refusedPause) {
 			var calls []Call
-			col, calls = col.Fill(lane, seats(1), now)
-			var ended Ended
+			col, calls = col.FillSlots(lane, testCandidates(1), now)
+			var ended JobChanges
 			col, ended = col.WithCallEnded(calls[0].ID, CallLost, nil, "", 10, now)
 			failed = len(ended.Failed)
 		}
@@ -339,30 +339,30 @@
 		// A burst of 2.6 times the usual load stands in front. Taken in, the job
 		// would be told so only when its time is over.
 		c := qt.New(t)
-		col := pool(0)
+		col := newCollector(0)
 		for id := range uint64(40) {
 			col = col.WithJob(newJob(id+1, 8))
 		}
-		c.Assert(admits(col, newJob(99, 1), seats(1)), qt.IsFalse)
-		c.Assert(admits(col, newJob(99, 1), seats(40)), qt.IsTrue)
+		c.Assert(admits(col, newJob(99, 1), testCandidates(1)), qt.IsFalse)
+		c.Assert(admits(col, newJob(99, 1), testCandidates(40)), qt.IsTrue)
 	})
 
 	t.Run("an urgent job is not turned away for the less urgent in front of it", func(t *testing.T) {
 		c := qt.New(t)
-		col := pool(0)
+		col := newCollector(0)
 		for id := range uint64(40) {
 			less := newJob(id+1, 8)
 			less.Priority = 2
 			col = col.WithJob(less)
 		}
-		c.Assert(admits(col, newJob(99, 1), seats(1)), qt.IsTrue)
+		c.Assert(admits(col, newJob(99, 1), testCandidates(1)), qt.IsTrue)
 	})
 
 	t.Run("a late job is not turned away where nothing waits", func(t *testing.T) {
 		c := qt.New(t)
 		late := newJob(1, 1)
-		late.AimAt = start
-		c.Assert(admits(pool(0), late, seats(1)), qt.IsTrue)
+		late.TargetAt = start
+		c.Assert(admits(newCollector(0), late, testCandidates(1)), qt.IsTrue)
 	})
 
 	t.Run("a late job that starves behind others is given up, not held to its deadline", func(t *testing.T) {
@@ -370,15 +370,15 @@
 		// again. Their callers hear so early enough to come back.
 		c := qt.New(t)
 		late := newJob(1, 1)
-		late.AimAt = start
+		late.TargetAt = start
 		// It has three seconds: after one it has waited for half of what is left.
 		late.Deadline = start.Add(3 * time.Second)
 		now := start.Add(1010 * time.Millisecond)
-		_, expired := pool(0).WithJob(late).WithJob(newJob(2, 1)).Expire(now.Add(-20 * time.Millisecond))
+		_, expired := newCollector(0).WithJob(late).WithJob(newJob(2, 1)).Expire(now.Add(-20 * time.Millisecond))
 		c.Assert(expired.Failed, qt.HasLen, 0)
-		_, expired = pool(0).WithJob(late).Expire(now)
+		_, expired = newCollector(0).WithJob(late).Expire(now)
 		c.Assert(expired.Failed, qt.HasLen, 0)
-		_, expired = pool(0).WithJob(late).WithJob(newJob(2, 1)).Expire(now)
+		_, expired = newCollector(0).WithJob(late).WithJob(newJob(2, 1)).Expire(now)
 		c.Assert(expired.Failed, qt.HasLen, 1)
 		c.Assert(expired.Failed[0].Job.ID, qt.Equals, uint64(1))
 		c.Assert(expired.Failed[0].Reason, qt.Equals, PartOverloaded)
@@ -386,16 +386,16 @@
 
 	t.Run("a job that can't be done in time any more is given up", func(t *testing.T) {
 		c := qt.New(t)
-		col := pool(0).WithJob(newJob(1, 1))
+		col := newCollector(0).WithJob(newJob(1, 1))
 		_, expired := col.Expire(start.Add(5 * time.Second))
 		c.Assert(expired.Failed, qt.HasLen, 0)
 		col, expired = col.Expire(start.Add(6*time.Second - callTime))
 		c.Assert(expired.Failed, qt.HasLen, 1)
-		c.Assert(col.Waiting(lane), qt.Equals, 0)
+		c.Assert(col.WaitingParts(lane), qt.Equals, 0)
 	})
 }
 
 // admits says whether a collector takes a job in by its own queue.
-func admits(c Collector, j Job, seats []Seat) bool {
-	return c.Admits(j, c.Wait(j, seats, start), start)
+func admits(c Collector, j Job, candidates []Candidate) bool {
+	return c.Admits(j, c.EstimateWait(j, candidates, start), start)
 }
--- a/internal/chutebatch/queue.go
+++ b/internal/chutebatch/queue.go
@@ -45,44 +45,44 @@
 	return Lane{Pool: j.Pool, Shard: j.Shard}
 }
 
-// place is where a job stands in its queue.
-type place struct {
+// queueKey is where a job stands in its queue.
+type queueKey struct {
 	level    int
 	priority int
-	startBy  int64
+	dueBy    int64
 	id       uint64
 }
 
-// placeComparer orders places for the library's map.
-type placeComparer struct{}
+// queueKeyComparer orders places for the library's map.
+type queueKeyComparer struct{}
 
-func (placeComparer) Compare(a, b place) int {
+func (queueKeyComparer) Compare(a, b queueKey) int {
 	return cmp.Or(
 		cmp.Compare(a.level, b.level), cmp.Compare(a.priority, b.priority),
-		cmp.Compare(a.startBy, b.startBy), cmp.Compare(a.id, b.id),
+		cmp.Compare(a.dueBy, b.dueBy), cmp.Compare(a.id, b.id),
 	)
 }
 
-func (p place) before(other place) bool {
-	return placeComparer{}.Compare(p, other) < 0
+func (p queueKey) before(other queueKey) bool {
+	return queueKeyComparer{}.Compare(p, other) < 0
 }
 
-// place orders jobs within their workspaces' shares before others, then by urgency, and
+// queueKey orders jobs within their workspaces' shares before others, then by urgency, and
 // then by when they have to be done for the rest to be on time: a long prompt needs more
 // time after its stages than a short one.
 //
 // Urgency comes second: a loud workspace's urgent requests, many times its usual, would
 // otherwise take all that the others' less urgent ones have.
-func (j *Job) place() place {
-	return place{level: j.Level, priority: j.Priority, startBy: j.AimAt.Add(-j.Rest).UnixNano(), id: j.ID}
+func (j *Job) queueKey() queueKey {
+	return queueKey{level: j.Level, priority: j.Priority, dueBy: j.TargetAt.Add(-j.TimeAfterStage).UnixNano(), id: j.ID}
 }
 
 // queue holds the jobs of one lane that have waiting parts.
 type queue struct {
-	order *immutable.SortedMap[place, uint64]
-	// parts counts the waiting parts, fair the same by workspace.
-	parts int
-	fair  chutefair.Queue
+	order *immutable.SortedMap[queueKey, uint64]
+	// waitingParts counts the waiting parts, fair the same by workspace.
+	waitingParts int
+	fairQueue    chutefair.Queue
 }
 
 // Level returns how far a job would be beyond its workspace's share of its queue now.
@@ -99,25 +99,25 @@
 		return 0
 	}
 
-	return q.fair.Level(j.Workspace, demand.Share(j.Workspace, j.Since), c.pools[j.Pool].BatchSize)
+	return q.fairQueue.Level(j.Workspace, demand.Share(j.Workspace, j.QueuedAt), c.pools[j.Pool].BatchSize)
 }
 
-// withJob files a job and its place in the queue.
-func (c Collector) withJob(j job) Collector {
+// withJobState files a job and its place in the queue.
+func (c Collector) withJobState(j jobState) Collector {
 	lane := j.Lane()
 	q, ok := c.queues.Get(lane)
 	if !ok {
-		q.order = immutable.NewSortedMap[place, uint64](placeComparer{})
-		q.fair = chutefair.NewQueue()
+		q.order = immutable.NewSortedMap[queueKey, uint64](queueKeyComparer{})
+		q.fairQueue = chutefair.NewQueue()
 	}
-	was, _ := c.jobs.Get(j.ID)
-	q.parts += len(j.pending) - len(was.pending)
-	q.fair = q.fair.With(j.Workspace, j.Level, len(j.pending)-len(was.pending))
+	previous, _ := c.jobs.Get(j.ID)
+	q.waitingParts += len(j.pending) - len(previous.pending)
+	q.fairQueue = q.fairQueue.With(j.Workspace, j.Level, len(j.pending)-len(previous.pending))
 	switch {
-	case len(j.pending) > 0 && len(was.pending) == 0:
-		q.order = q.order.Set(j.place(), j.ID)
-	case len(j.pending) == 0 && len(was.pending) > 0:
-		q.order = q.order.Delete(j.place())
+	case len(j.pending) > 0 && len(previous.pending) == 0:
+		q.order = q.order.Set(j.queueKey(), j.ID)
+	case len(j.pending) == 0 && len(previous.pending) > 0:
+		q.order = q.order.Delete(j.queueKey())
 	}
 	c.jobs = c.jobs.Set(j.ID, j)
 	c.queues = c.queues.Set(lane, q)
@@ -125,27 +125,27 @@
 	return c
 }
 
-// dropped forgets a job and its place in the queue.
-func (c Collector) dropped(j job) Collector {
+// withoutJobState forgets a job and its place in the queue.
+func (c Collector) withoutJobState(j jobState) Collector {
 	j.pending = nil
-	c = c.withJob(j)
+	c = c.withJobState(j)
 	c.jobs = c.jobs.Delete(j.ID)
 
 	return c
 }
 
-// Waiting counts the parts of a lane that wait for a call.
-func (c Collector) Waiting(l Lane) int {
+// WaitingParts counts the parts of a lane that wait for a call.
+func (c Collector) WaitingParts(l Lane) int {
 	q, _ := c.queues.Get(l)
 
-	return q.parts
+	return q.waitingParts
 }
 
-// Lanes lists the lanes in which parts wait.
-func (c Collector) Lanes() []Lane {
+// WaitingLanes lists the lanes in which parts wait.
+func (c Collector) WaitingLanes() []Lane {
 	var lanes []Lane
 	for i := c.queues.Iterator(); !i.Done(); {
-		if lane, q, _ := i.Next(); q.parts > 0 {
+		if lane, q, _ := i.Next(); q.waitingParts > 0 {
 			lanes = append(lanes, lane)
 		}
 	}
@@ -166,39 +166,39 @@
 	return jobs
 }
 
-// lateAfter is the start by which a job must begin now to make its aim: under load
+// fullCallEnd is the start by which a job must begin now to make its aim: under load
 // calls are full. Taken for a small one, jobs would be run as timely that end
 // just too late, in the place of others that would have been on time.
-func lateAfter(b chuteroute.Batching, now time.Time) int64 {
+func fullCallEnd(b chuteroute.Batching, now time.Time) int64 {
 	return now.Add(b.FullCall()).UnixNano()
 }
 
-// walk visits the lane's waiting jobs in their order until visit returns false:
+// visitWaiting visits the lane's waiting jobs in their order until visit returns false:
 // those that can still make their aim first, then those that are late anyhow.
 //
 // With the nearest aim first and nothing else, a burst makes each job wait until
 // it is just too late. Those that are late yield to those that are not.
-func (c Collector) walk(l Lane, now time.Time, visit func(j *job) bool) {
+func (c Collector) visitWaiting(l Lane, now time.Time, visit func(j *jobState) bool) {
 	q, ok := c.queues.Get(l)
 	if !ok {
 		return
 	}
-	bound := lateAfter(c.pools[l.Pool], now)
-	if c.walkPart(q, bound, math.MaxInt64, visit) {
-		c.walkPart(q, math.MinInt64, bound, visit)
+	earliestEnd := fullCallEnd(c.pools[l.Pool], now)
+	if c.visitDueBetween(q, earliestEnd, math.MaxInt64, visit) {
+		c.visitDueBetween(q, math.MinInt64, earliestEnd, visit)
 	}
 }
 
-// walkPart visits the jobs whose start lies in [from,to), by level and priority; false means that visit ended it.
-func (c Collector) walkPart(q queue, from, to int64, visit func(j *job) bool) bool {
+// visitDueBetween visits the jobs whose start lies in [from,to), by level and priority; false means that visit ended it.
+func (c Collector) visitDueBetween(q queue, from, to int64, visit func(j *jobState) bool) bool {
 	i := q.order.Iterator()
 	for !i.Done() {
 		next, _, _ := i.Next()
 		// Jump to the part of this level and priority, then go on behind it.
-		i.Seek(place{level: next.level, priority: next.priority, startBy: from})
+		i.Seek(queueKey{level: next.level, priority: next.priority, dueBy: from})
 		for !i.Done() {
-			at, id, _ := i.Next()
-			if at.priority != next.priority || at.level != next.level || at.startBy >= to {
+			key, id, _ := i.Next()
+			if key.priority != next.priority || key.level != next.level || key.dueBy >= to {
 				break
 			}
 			j, _ := c.jobs.Get(id)
@@ -206,7 +206,7 @@
 				return false
 			}
 		}
-		i.Seek(place{level: next.level, priority: next.priority + 1, startBy: math.MinInt64})
+		i.Seek(queueKey{level: next.level, priority: next.priority + 1, dueBy: math.MinInt64})
 	}
 
 	return true
--- a/internal/chutebatch/restart.go
+++ b/internal/chutebatch/restart.go
@@ -9,33 +9,33 @@
 // WithoutUpstream forgets what an upstream whose process has ended had made and held.
 // At most allowed parts are queued again; jobs that wait for lost inputs, and those with
 // lost parts beyond that, fail. Finished jobs stay with whoever asked.
-func (c Collector) WithoutUpstream(upstream string, allowed int, now time.Time) (Collector, Ended) {
-	var out Ended
+func (c Collector) WithoutUpstream(upstream string, maxRequeued int, now time.Time) (Collector, JobChanges) {
+	var changes JobChanges
 	for _, call := range c.CallsAt(upstream) {
-		var ended Ended
-		c, ended = c.WithCallEnded(call.ID, CallLost, nil, "", allowed-out.Requeued, now)
-		out = out.with(ended)
+		var callChanges JobChanges
+		c, callChanges = c.WithCallEnded(call.ID, CallLost, nil, "", maxRequeued-changes.Requeued, now)
+		changes = changes.merged(callChanges)
 	}
 	for i := c.jobs.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
-		lost := j.resultsAt(upstream)
+		lost := j.partsStoredAt(upstream)
 		switch {
-		case j.missing == 0:
-		case len(j.pending) > 0 && slices.Contains(j.InputsAt, upstream):
-			c, out = c.withFailed(j, PartInputGone, out)
-		case out.Requeued+len(lost) > allowed:
-			c, out = c.withFailed(j, PartErrored, out)
+		case j.missingResults == 0:
+		case len(j.pending) > 0 && slices.Contains(j.InputUpstreams, upstream):
+			c, changes = c.withFailed(j, PartInputGone, changes)
+		case changes.Requeued+len(lost) > maxRequeued:
+			c, changes = c.withFailed(j, PartErrored, changes)
 		case len(lost) > 0:
-			out.Requeued += len(lost)
-			c = c.withJob(j.without(lost))
+			changes.Requeued += len(lost)
+			c = c.withJobState(j.withResultsLost(lost))
 		}
 	}
-	c.rooms = c.rooms.Delete(upstream)
-	c.strangers = c.strangers.Delete(upstream)
-	c.pauses = c.pauses.Delete(upstream)
-	c.heldBack = c.heldBack.Delete(upstream)
+	c.memories = c.memories.Delete(upstream)
+	c.foreignUsages = c.foreignUsages.Delete(upstream)
+	c.pausedUntil = c.pausedUntil.Delete(upstream)
+	c.delayedSince = c.delayedSince.Delete(upstream)
 
-	return c, out
+	return c, changes
 }
 
 // CallsAt returns the calls in flight at an upstream, in the order of their ids.
@@ -51,25 +51,25 @@
 	return calls
 }
 
-// resultsAt lists the parts whose results lie at an upstream.
-func (j *job) resultsAt(upstream string) []int {
-	var at []int
+// partsStoredAt lists the parts whose results lie at an upstream.
+func (j *jobState) partsStoredAt(upstream string) []int {
+	var parts []int
 	for i, r := range j.results {
 		if r.Upstream == upstream {
-			at = append(at, i)
+			parts = append(parts, i)
 		}
 	}
 
-	return at
+	return parts
 }
 
-// without returns the job with results that are lost waiting to be made again.
-func (j job) without(lost []int) job {
+// withResultsLost returns the job with results that are lost waiting to be made again.
+func (j jobState) withResultsLost(lost []int) jobState {
 	j.results = slices.Clone(j.results)
 	for _, i := range lost {
 		j.results[i] = Result{}
 	}
-	j.missing += len(lost)
+	j.missingResults += len(lost)
 	j.pending = append(slices.Clip(j.pending), lost...)
 
 	return j
--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -205,7 +205,7 @@
 }
 
 // lostCall says what a failed call with parts means.
-func lostCall(err error) (chutebatch.CallEnd, chutefleet.FailureKind) {
+func lostCall(err error) (chutebatch.CallOutcome, chutefleet.FailureKind) {
 	failure := asSendError(err)
 	kind := chutefleet.FailureBroken
 	if failure.Silent {
--- a/internal/chutegate/seams.go
+++ b/internal/chutegate/seams.go
@@ -111,7 +111,7 @@
 
 // PartsAnswer is an upstream's answer to a call with parts.
 type PartsAnswer struct {
-	Ends    []chutebatch.PartEnd
+	Ends    []chutebatch.PartOutcome
 	Refused bool
 	Leaving bool
 	// Limit is the upstream's word on the requests that it takes; nil if it has none.
--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -151,7 +151,7 @@
 		}
 		queues := st.queues(r, i)
 		needs := st.stageTime(r, i) + st.rest(r, i)
-		if queues > shortQueue && st.now.Add(queues+needs).After(chutebatch.WorthEnding(r.aimAt, r.until())) {
+		if queues > shortQueue && st.now.Add(queues+needs).After(chutebatch.AdmissionDeadline(r.aimAt, r.until())) {
 			return queues, true
 		}
 	}
@@ -172,8 +172,8 @@
 // The queue of a request's second stage shows only there otherwise: by then the
 // first stage has run for it in vain, and its caller has waited for that.
 func (st *step) waitsAhead(job chutebatch.Job) time.Duration {
-	wait := st.collector.Wait(job, st.seats(job.Lane()), st.now)
-	for _, pool := range job.Then {
+	wait := st.collector.EstimateWait(job, st.seats(job.Lane()), st.now)
+	for _, pool := range job.FollowingPools {
 		later := job
 		later.Pool = pool
 		later.Shard = st.shard(later)
@@ -193,14 +193,14 @@
 	lane := like.Lane()
 	level := st.collector.Level(like)
 	// A new job of the kind has its whole time before it.
-	like.AimAt = st.now.Add(like.AimAt.Sub(like.Since))
+	like.TargetAt = st.now.Add(like.TargetAt.Sub(like.QueuedAt))
 	like.ID = math.MaxUint64
-	late := st.collector.Late(like, st.now)
+	late := st.collector.IsLate(like, st.now)
 	key := queueKey{lane: lane, priority: like.Priority, level: level}
 	if heard, ok := st.ownWaits.Get(key); ok && !late && st.now.Sub(heard.at) < waitFresh {
 		return heard.wait, level > 0
 	}
-	wait = st.collector.Wait(like, st.seats(lane), st.now)
+	wait = st.collector.EstimateWait(like, st.seats(lane), st.now)
 	if !late {
 		st.ownWaits = st.ownWaits.Set(key, heardWait{wait: wait, at: st.now})
 	}
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -35,7 +35,7 @@
 	st.hear(e.Loads)
 	job := e.Job
 	job.ID = st.newID()
-	job.Since = st.now
+	job.QueuedAt = st.now
 	st.origins = st.origins.Set(job.ID, origin{token: e.Token})
 	st.tokens = st.tokens.Set(e.Token, job.ID)
 	st.takeJob(job)
@@ -74,7 +74,7 @@
 
 // takeJob queues a job at the own collector.
 func (st *step) takeJob(job chutebatch.Job) {
-	if slices.ContainsFunc(job.InputsAt, st.fleet.HasReplaced) {
+	if slices.ContainsFunc(job.InputUpstreams, st.fleet.HasReplaced) {
 		// Whoever asks has not heard yet that an upstream has started again. A call
 		// would only find the inputs gone.
 		st.refuseJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartInputGone})
@@ -86,7 +86,7 @@
 
 		return
 	}
-	job.Alone = len(st.quarantine.Suspected(job.Fingerprint)) > 0
+	job.Isolated = len(st.quarantine.Suspected(job.Fingerprint)) > 0
 	if !st.collector.Admits(job, st.waitsAhead(job), st.now) {
 		st.refuseJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartOverloaded})
 
@@ -108,7 +108,7 @@
 // dropJob forgets a job of the own collector and frees its results.
 func (st *step) dropJob(id uint64) {
 	st.origins = st.origins.Delete(id)
-	var frees []chutebatch.Free
+	var frees []chutebatch.FreeRequest
 	st.collector, frees = st.collector.WithoutJob(id)
 	for _, f := range frees {
 		st.free(f)
@@ -120,18 +120,18 @@
 
 // fillAll looks over the waiting parts of all lanes.
 func (st *step) fillAll() {
-	for _, lane := range st.collector.Lanes() {
+	for _, lane := range st.collector.WaitingLanes() {
 		st.fill(lane)
 	}
 }
 
 // fill gives free upstreams of a lane calls, as long as parts wait.
 func (st *step) fill(lane chutebatch.Lane) {
-	if st.collector.Waiting(lane) == 0 {
+	if st.collector.WaitingParts(lane) == 0 {
 		return
 	}
 	var calls []chutebatch.Call
-	st.collector, calls = st.collector.Fill(lane, st.seats(lane), st.now)
+	st.collector, calls = st.collector.FillSlots(lane, st.seats(lane), st.now)
 	for _, call := range calls {
 		u, ok := st.fleet.Get(call.Upstream)
 		if !ok {
@@ -140,7 +140,7 @@
 		st.fleet = st.fleet.WithSent(u.ID, 0, st.now)
 		st.do(RunCall{Call: call, Upstream: u, Timeout: st.callTimeout(call)})
 	}
-	if st.tickAt.IsZero() && st.collector.Waiting(lane) > 0 {
+	if st.tickAt.IsZero() && st.collector.WaitingParts(lane) > 0 {
 		st.tickAt = st.now.Add(tick)
 		st.do(TickAt{At: st.tickAt})
 	}
@@ -150,11 +150,11 @@
 //
 // A shard whose upstreams are all gone or set aside is served by the others, so
 // that a zone without healthy upstreams of a pool does not fail its requests.
-func (st *step) seats(lane chutebatch.Lane) []chutebatch.Seat {
-	var all, own, reached []chutebatch.Seat
+func (st *step) seats(lane chutebatch.Lane) []chutebatch.Candidate {
+	var all, own, reached []chutebatch.Candidate
 	for _, u := range st.fleet.UsableIn(lane.Pool, st.now) {
 		pace, _ := st.paces.Get(u.ID)
-		seat := chutebatch.Seat{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
+		seat := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
 		all = append(all, seat)
 		if st.zones.cutOff(u.Zone, st.now) {
 			continue
@@ -164,7 +164,7 @@
 			own = append(own, seat)
 		}
 	}
-	for _, seats := range [][]chutebatch.Seat{own, reached} {
+	for _, seats := range [][]chutebatch.Candidate{own, reached} {
 		if len(seats) > 0 {
 			return seats
 		}
@@ -205,7 +205,7 @@
 	}
 	repeats := st.collectorAccount(call.Pool, st.now)
 	allowed := st.repeatsLeft(repeats)
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithCallEnded(e.ID, e.End, e.Ends, u.Zone, allowed, st.now)
 	st.spendRepeats(repeats.budgetKey, ended.Requeued)
 	st.settle(ended)
@@ -213,11 +213,11 @@
 }
 
 // settle passes on what became of jobs.
-func (st *step) settle(ended chutebatch.Ended) {
-	for _, f := range ended.Frees {
+func (st *step) settle(ended chutebatch.JobChanges) {
+	for _, f := range ended.ToFree {
 		st.free(f)
 	}
-	for _, id := range ended.Made {
+	for _, id := range ended.Completed {
 		st.give(id)
 	}
 	for _, failed := range ended.Failed {
@@ -227,7 +227,7 @@
 
 // lookOver gives up jobs that can't be done in time, and fills free slots.
 func (st *step) lookOver() {
-	var expired chutebatch.Ended
+	var expired chutebatch.JobChanges
 	st.collector, expired = st.collector.Expire(st.now)
 	st.settle(expired)
 	st.fillAll()
--- a/internal/chuterelay/evacuate_test.go
+++ b/internal/chuterelay/evacuate_test.go
@@ -167,7 +167,7 @@
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		n.on(JobAsked{Token: 7, Job: chutebatch.Job{
 			Request: "r", Pool: partPool, Shard: "z2", Zone: "z2", Parts: 3, Key: "k",
-			AimAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
+			TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
 		}})
 		for _, call := range take[RunCall](n) {
 			n.Assert(call.Upstream.Zone, qt.Equals, "z1")
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -116,8 +116,8 @@
 // CallEnded reports the end of a call with parts.
 type CallEnded struct {
 	ID   uint64
-	End  chutebatch.CallEnd
-	Ends []chutebatch.PartEnd
+	End  chutebatch.CallOutcome
+	Ends []chutebatch.PartOutcome
 	Took time.Duration
 	// Failure is empty unless the upstream failed in a way that counts against it.
 	Failure chutefleet.FailureKind
--- a/internal/chuterelay/harness_test.go
+++ b/internal/chuterelay/harness_test.go
@@ -161,9 +161,9 @@
 
 // answer ends one call with a result for each part.
 func (n *node) answer(call RunCall) {
-	var ends []chutebatch.PartEnd
+	var ends []chutebatch.PartOutcome
 	for _, p := range call.Call.Parts {
-		ends = append(ends, chutebatch.PartEnd{Ref: fmt.Sprintf("%s/%d.%d", call.Upstream.ID, p.Job, p.Index)})
+		ends = append(ends, chutebatch.PartOutcome{Ref: fmt.Sprintf("%s/%d.%d", call.Upstream.ID, p.Job, p.Index)})
 	}
 	n.on(CallEnded{ID: call.Call.ID, End: chutebatch.CallAnswered, Ends: ends, Took: 160 * time.Millisecond})
 }
--- a/internal/chuterelay/learned_test.go
+++ b/internal/chuterelay/learned_test.go
@@ -68,11 +68,11 @@
 		late.Pipeline.Aim = time.Millisecond
 		n.on(Arrived{Submission: late})
 		first := only[RunCall](n)
-		n.Assert(first.Call.Jobs[0].AimAt, qt.Equals, n.now.Add(time.Millisecond))
+		n.Assert(first.Call.Jobs[0].TargetAt, qt.Equals, n.now.Add(time.Millisecond))
 		n.pass(200 * time.Millisecond)
 		n.answer(first)
 		second := only[RunCall](n)
-		n.Assert(n.state.collector.Late(second.Call.Jobs[0], n.now), qt.IsFalse)
+		n.Assert(n.state.collector.IsLate(second.Call.Jobs[0], n.now), qt.IsFalse)
 	})
 }
 
--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -74,7 +74,7 @@
 			if call.Upstream.ID == partPool+"0" {
 				limit = &Limit{Named: true, PerSecond: 0.25}
 			}
-			ends := make([]chutebatch.PartEnd, len(call.Call.Parts))
+			ends := make([]chutebatch.PartOutcome, len(call.Call.Parts))
 			for i := range ends {
 				ends[i].Ref = "made"
 			}
--- a/internal/chuterelay/loads_test.go
+++ b/internal/chuterelay/loads_test.go
@@ -33,7 +33,7 @@
 	t.Run("a collector tells which engines are crowded, by what all nodes have heard", func(*testing.T) {
 		n := newNode(t)
 		n.on(JobAsked{Token: 7, Job: chutebatch.Job{
-			Request: "r", Pool: partPool, Parts: 1, AimAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
+			Request: "r", Pool: partPool, Parts: 1, TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
 		}, Loads: []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}, {Upstream: enginePool + "1", Calls: 1}}})
 		n.makeParts()
 		n.Assert(only[GiveParts](n).Loads, qt.DeepEquals, []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}})
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -76,7 +76,7 @@
 // endedUnder takes in that an upstream ended while it ran a call with parts.
 func (st *step) endedUnder(u chutefleet.Upstream, call chutebatch.Call, evidence string) {
 	st.crashed(u, evidence, suspectsOf(call)...)
-	st.collector = st.collector.WithEndedUnder(call)
+	st.collector = st.collector.WithUpstreamEnded(call)
 }
 
 // clear takes in that an upstream has answered a request: whatever ended beside it, it was
@@ -153,7 +153,7 @@
 			st.giveUp(r, refusal)
 		}
 	}
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithoutRequest(j.Fingerprint)
 	st.settle(ended)
 }
--- a/internal/chuterelay/quarantine_test.go
+++ b/internal/chuterelay/quarantine_test.go
@@ -228,7 +228,7 @@
 func partsJob(n *node, token uint64, fingerprint string, parts int) JobAsked {
 	return JobAsked{Token: token, Job: chutebatch.Job{
 		Request: fmt.Sprint("r", token), Fingerprint: fingerprint, Pool: partPool, Parts: parts, Key: "k",
-		AimAt: n.now.Add(2 * time.Second), Deadline: n.now.Add(3 * time.Second),
+		TargetAt: n.now.Add(2 * time.Second), Deadline: n.now.Add(3 * time.Second),
 	}}
 }
 
@@ -254,7 +254,7 @@
 		ended := n.runAlone("p")
 		n.Assert(ended, qt.Equals, 1)
 		n.Assert(take[GiveParts](n), qt.HasLen, 2)
-		n.Assert(only[RefuseParts](n).Reason, qt.Equals, string(chutebatch.PartEnded))
+		n.Assert(only[RefuseParts](n).Reason, qt.Equals, string(chutebatch.PartUpstreamsEnded))
 	})
 
 	t.Run("a peer's job is refused after the verdict, and taken back when it falls", func(t *testing.T) {
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -39,7 +39,7 @@
 	}
 	repeats := st.collectorAccount(u.Pool, st.now)
 	allowed := st.repeatsLeft(repeats)
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithoutUpstream(u.ID, allowed, st.now)
 	st.spendRepeats(repeats.budgetKey, ended.Requeued)
 	st.settle(ended)
--- a/internal/chuterelay/restart_test.go
+++ b/internal/chuterelay/restart_test.go
@@ -62,7 +62,7 @@
 		first := only[RunCall](n)
 		n.answer(first)
 		second := only[RunCall](n)
-		n.Assert(second.Call.Jobs[0].InputsAt, qt.DeepEquals, []string{first.Upstream.ID})
+		n.Assert(second.Call.Jobs[0].InputUpstreams, qt.DeepEquals, []string{first.Upstream.ID})
 		n.restart(first.Upstream.Name)
 		again := only[RunCall](n)
 		n.Assert(again.Call.Jobs[0].Stage, qt.Equals, 0)
@@ -87,8 +87,8 @@
 		n.restart("parts0")
 		n.effects = nil
 		n.on(JobAsked{Token: 7, Job: chutebatch.Job{
-			Request: "r", Pool: partPool, Parts: 1, Inputs: []string{"a/1"}, InputsAt: []string{"parts0"},
-			AimAt: n.now.Add(time.Second), Deadline: n.now.Add(time.Second),
+			Request: "r", Pool: partPool, Parts: 1, Inputs: []string{"a/1"}, InputUpstreams: []string{"parts0"},
+			TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(time.Second),
 		}})
 		n.Assert(only[RefuseParts](n).Reason, qt.Equals, string(chutebatch.PartInputGone))
 		expectNo[RunCall](n)
--- a/internal/chuterelay/results.go
+++ b/internal/chuterelay/results.go
@@ -109,12 +109,12 @@
 		byUpstream[result.Upstream] = append(byUpstream[result.Upstream], result.Ref)
 	}
 	for _, id := range order {
-		st.free(chutebatch.Free{Upstream: id, Refs: byUpstream[id]})
+		st.free(chutebatch.FreeRequest{Upstream: id, Refs: byUpstream[id]})
 	}
 }
 
 // free tells an upstream which results may go.
-func (st *step) free(f chutebatch.Free) {
+func (st *step) free(f chutebatch.FreeRequest) {
 	if u, ok := st.fleet.Get(f.Upstream); ok && !st.fleet.Evacuated(u.Zone) {
 		st.do(FreeResults{Upstream: u, Refs: f.Refs})
 	}
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -22,23 +22,23 @@
 	rest, then := st.restOf(r, i)
 	job := chutebatch.Job{
 		Request: r.ID, Pool: stage.Pool, Stage: i, Parts: r.parts(i),
-		ResultBytes: stage.ResultBytes, Priority: r.rank(), AimAt: r.aimAt, Deadline: r.until(),
-		Rest: rest, Then: then, Zone: r.zone, Since: st.now, Workspace: r.Workspace.Name,
+		ResultBytes: stage.ResultBytes, Priority: r.rank(), TargetAt: r.aimAt, Deadline: r.until(),
+		TimeAfterStage: rest, FollowingPools: then, Zone: r.zone, QueuedAt: st.now, Workspace: r.Workspace.Name,
 		Pipeline: r.Pipeline.Name, Fingerprint: r.Fingerprint,
 	}
 	if len(stage.After) == 0 {
 		job.Key = r.PartKey
 	} else {
 		job.Inputs = r.refs(stage.After)
-		job.InputsAt = r.keepers(stage.After)
+		job.InputUpstreams = r.keepers(stage.After)
 		job.Zone = r.inputZone(stage.After, r.zone)
 		job.Deadline = st.inputsUntil(r, stage.After)
 	}
 	if r.underWay() {
-		job.AimAt = later(job.AimAt, st.now.Add(rest+st.soon(stage.Pool)))
+		job.TargetAt = later(job.TargetAt, st.now.Add(rest+st.soon(stage.Pool)))
 	}
 	if r.begun {
-		job.Priority, job.AimAt = resumePriority, st.now.Add(resumeAim)
+		job.Priority, job.TargetAt = resumePriority, st.now.Add(resumeAim)
 	}
 	job.Zone = st.placeable(job.Zone)
 	job.Shard = st.shard(job)
@@ -179,7 +179,7 @@
 	r = r.withStage(a.stage, s)
 	gone := e.Reason == string(chutebatch.PartInputGone) || e.Reason == string(chutebatch.PartLate)
 	overloaded := e.Reason == string(chutebatch.PartOverloaded)
-	if e.Reason == string(chutebatch.PartQuarantined) || e.Reason == string(chutebatch.PartEnded) {
+	if e.Reason == string(chutebatch.PartQuarantined) || e.Reason == string(chutebatch.PartUpstreamsEnded) {
 		refusal, held := st.quarantined(r.Fingerprint)
 		if !held {
 			refusal = Refusal{Kind: RefusedNotRun, Reason: "upstreams ended while they ran its stage", RetryAfter: endedRetry}
--- a/internal/chuterelay/stages_test.go
+++ b/internal/chuterelay/stages_test.go
@@ -219,7 +219,7 @@
 func peerJob(request string, parts int) chutebatch.Job {
 	return chutebatch.Job{
 		Request: request, Pool: partPool, Parts: parts, ResultBytes: 10,
-		AimAt: start.Add(3 * time.Second), Deadline: start.Add(6 * time.Second),
+		TargetAt: start.Add(3 * time.Second), Deadline: start.Add(6 * time.Second),
 	}
 }
 
@@ -246,7 +246,7 @@
 		first.Pool = "idle"
 		n.on(JobAsked{Token: 100, Job: first})
 		expectNo[RefuseParts](n)
-		first.Then = []string{partPool}
+		first.FollowingPools = []string{partPool}
 		n.on(JobAsked{Token: 101, Job: first})
 		n.Assert(only[RefuseParts](n).Reason, qt.Equals, string(chutebatch.PartOverloaded))
 	})
@@ -294,7 +294,7 @@
 			n.pass(time.Second / 10)
 			n.on(Ticked{})
 		}
-		n.Assert(n.state.collector.Waiting(chutebatch.Lane{Pool: partPool}) > 0, qt.IsTrue)
+		n.Assert(n.state.collector.WaitingParts(chutebatch.Lane{Pool: partPool}) > 0, qt.IsTrue)
 		expectNo[Refuse](n)
 	})
 
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -248,5 +248,5 @@
 
 // Idle says whether no request is in flight and nobody holds a job here.
 func (s State) Idle() bool {
-	return s.requests.Len() == 0 && s.collector.Len() == 0
+	return s.requests.Len() == 0 && s.collector.JobCount() == 0
 }
--- a/internal/chuterelay/view.go
+++ b/internal/chuterelay/view.go
@@ -67,8 +67,8 @@
 	for _, peer := range s.peers.all {
 		v.Peers = append(v.Peers, PeerView{Peer: peer, Silent: s.peers.passedOver(peer, now)})
 	}
-	for _, lane := range s.collector.Lanes() {
-		v.Lanes = append(v.Lanes, LaneView{Lane: lane, Parts: s.collector.Waiting(lane)})
+	for _, lane := range s.collector.WaitingLanes() {
+		v.Lanes = append(v.Lanes, LaneView{Lane: lane, Parts: s.collector.WaitingParts(lane)})
 	}
 
 	return v
--- a/internal/chuteshare/share_test.go
+++ b/internal/chuteshare/share_test.go
@@ -79,7 +79,7 @@
 func job() Ask {
 	return Ask{Loads: []chutefleet.LoadReport{{Upstream: "u", Calls: 9, Age: 30 * time.Millisecond}}, Job: chutebatch.Job{
 		Request: "r", Pool: "p", Shard: "z", Stage: 2, Parts: 3, Inputs: []string{"a", "b"}, ResultBytes: 9,
-		Priority: 1, AimAt: start.Add(time.Second), Deadline: start.Add(2 * time.Second), Rest: 300 * time.Millisecond, Zone: "z",
+		Priority: 1, TargetAt: start.Add(time.Second), Deadline: start.Add(2 * time.Second), TimeAfterStage: 300 * time.Millisecond, Zone: "z",
 	}}
 }
 
--- a/internal/chuteshare/wire.go
+++ b/internal/chuteshare/wire.go
@@ -13,8 +13,8 @@
 	return &chutesharepb.MakeRequest{
 		Request: j.Request, Pool: j.Pool, Stage: int32(j.Stage), Parts: int32(j.Parts), //nolint:gosec // small counts
 		Key: j.Key, Inputs: j.Inputs, ResultBytes: j.ResultBytes, Priority: int32(j.Priority), //nolint:gosec // small
-		AimMs: j.AimAt.Sub(now).Milliseconds(), DeadlineMs: j.Deadline.Sub(now).Milliseconds(),
-		RestMs: j.Rest.Milliseconds(), Zone: j.Zone, Shard: j.Shard, Then: j.Then, InputsAt: j.InputsAt,
+		AimMs: j.TargetAt.Sub(now).Milliseconds(), DeadlineMs: j.Deadline.Sub(now).Milliseconds(),
+		RestMs: j.TimeAfterStage.Milliseconds(), Zone: j.Zone, Shard: j.Shard, Then: j.FollowingPools, InputsAt: j.InputUpstreams,
 		Workspace: j.Workspace, Fingerprint: j.Fingerprint, Pipeline: j.Pipeline,
 	}
 }
@@ -54,14 +54,14 @@
 	return chutebatch.Job{
 		Request: m.GetRequest(), Pool: m.GetPool(), Stage: int(m.GetStage()), Parts: int(m.GetParts()),
 		Key: m.GetKey(), Inputs: m.GetInputs(), ResultBytes: m.GetResultBytes(), Priority: int(m.GetPriority()),
-		AimAt:     now.Add(time.Duration(m.GetAimMs()) * time.Millisecond),
-		Deadline:  now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
-		Rest:      time.Duration(m.GetRestMs()) * time.Millisecond,
-		Zone:      m.GetZone(),
-		Shard:     m.GetShard(),
-		Then:      m.GetThen(),
-		InputsAt:  m.GetInputsAt(),
-		Workspace: m.GetWorkspace(),
+		TargetAt:       now.Add(time.Duration(m.GetAimMs()) * time.Millisecond),
+		Deadline:       now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
+		TimeAfterStage: time.Duration(m.GetRestMs()) * time.Millisecond,
+		Zone:           m.GetZone(),
+		Shard:          m.GetShard(),
+		FollowingPools: m.GetThen(),
+		InputUpstreams: m.GetInputsAt(),
+		Workspace:      m.GetWorkspace(),
 
 		Fingerprint: m.GetFingerprint(),
 		Pipeline:    m.GetPipeline(),
