--- a/internal/chutebatch/admit.go
+++ b/internal/chutebatch/admit.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// achievableRate is the part of the upstreams' full rate that parts get in practice:
-// calls are not always full, and room for results is short at times.
+// achievableRate is the fraction of the upstreams' maximum throughput that is reached
+// in practice: calls are not always full, and memory for results is short at times.
 const achievableRate = 0.8
 
-// Admits says whether a job can still be of use behind the parts that go ahead of
-// it, for which it waits here and at the stages that follow.
+// Admits reports whether a job can finish by its admission deadline if it waits for
+// the given time, here and at the stages that follow, before its parts run.
 //
-// Under a burst the queue grows until each job is late, and those turned away at
-// last have held their callers for seconds. Turned away on arrival they can come
-// back. A job is only turned away for the queue in front of it, never for being late
-// by itself.
+// Under a burst the queue grows until every job is late, and jobs that are refused
+// only then have kept their callers waiting for seconds. Callers that are refused on
+// arrival can retry in time. A job is refused only for the queue ahead of it, never
+// for being late by itself.
 func (c Collector) Admits(j Job, wait time.Duration, now time.Time) bool {
 	fullCallTime := c.pools[j.Pool].FullCall()
 	if wait <= fullCallTime {
@@ -22,7 +22,8 @@
 	return !now.Add(wait + fullCallTime + j.TimeAfterStage).After(AdmissionDeadline(j.TargetAt, j.Deadline))
 }
 
-// EstimateWait is how long the parts that go ahead of those of a job at its level take.
+// EstimateWait returns how long the candidates take to run the parts that are ahead of
+// the job in its queue; 0 without candidates or if the pool has no batching.
 func (c Collector) EstimateWait(j Job, candidates []Candidate, now time.Time) time.Duration {
 	batching, ok := c.pools[j.Pool]
 	if !ok {
--- a/internal/chutebatch/collector.go
+++ b/internal/chutebatch/collector.go
@@ -10,60 +10,61 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// Job asks for all parts of one stage of one request.
+// Job describes one stage of one request, whose parts the collector runs.
 type Job struct {
 	ID      uint64
 	Request string
 	Pool    string
-	// Shard names the upstreams of the pool, by zone, that the job is for; empty means all.
+	// Shard is the zone whose upstreams of the pool run the job; empty means all zones.
 	Shard string
-	// Stage is the stage's index in its pipeline.
+	// Stage is the index of the stage in its pipeline.
 	Stage int
 	// Parts is the number of parts; they are numbered from 0.
 	Parts int
-	// Key names the input of a stage that takes in no other stage's results.
+	// Key names the input of a stage that does not depend on another stage.
 	Key string
-	// Inputs are the results that the stage takes in.
+	// Inputs are the handles of the results that the stage reads.
 	Inputs []string
-	// InputUpstreams lists the incarnations that keep the inputs.
+	// InputUpstreams lists the upstream incarnations that store the inputs.
 	InputUpstreams []string
 	// ResultBytes is the approximate size of one part's result.
 	ResultBytes int64
 	Priority    int
-	// TargetAt is when the whole request should be answered, Deadline when nobody waits any more.
+	// TargetAt is when the whole request should be answered, Deadline when its caller
+	// stops waiting.
 	TargetAt time.Time
 	Deadline time.Time
 	// TimeAfterStage is the time that the request needs after this stage.
 	TimeAfterStage time.Duration
-	// Workspace is whose request it is, Pipeline what it runs on.
+	// Workspace owns the request, Pipeline runs it.
 	Workspace string
 	Pipeline  string
-	// Fingerprint is the same for all sendings of the request.
+	// Fingerprint is the same for the request and all its retries.
 	Fingerprint string
-	// Isolated says that its parts share no call with others': upstreams have ended under
-	// its request, and the next end is to tell whether that was its doing.
+	// Isolated means that the job shares no call with other jobs: upstreams have ended
+	// while they ran its request, and the next end must show whether it is the cause.
 	Isolated bool
-	// Level is how far the job is beyond its workspace's share of the queue, from 0; the
-	// collector sets it.
+	// Level is how far the job exceeds its workspace's share of the queue, 0 if it is
+	// within the share. The collector sets it.
 	Level int
-	// FollowingPools lists the pools of the stages that follow, on the way that takes longest.
+	// FollowingPools lists the pools of the stages that follow on the critical path.
 	FollowingPools []string
 	// Zone is where the results are needed.
 	Zone string
-	// QueuedAt is when the job came to this collector.
+	// QueuedAt is when the job arrived at this collector.
 	QueuedAt time.Time
 }
 
-// Result is where one part's result lies.
+// Result locates the result of one part.
 type Result struct {
-	// Ref is the handle by which others fetch the result.
+	// Ref is the handle by which the result is fetched.
 	Ref string
-	// Upstream is the incarnation that keeps it.
+	// Upstream is the incarnation that stores it.
 	Upstream string
 	Zone     string
 }
 
-// Part names one part of a job.
+// Part identifies one part of a job.
 type Part struct {
 	Job   uint64
 	Index int
@@ -76,13 +77,13 @@
 	Lane     Lane
 	Upstream string
 	Parts    []Part
-	// Jobs are the parts' jobs, in the same order.
+	// Jobs holds the job of each part, in the order of Parts.
 	Jobs []Job
-	// freeBytes is the room that was believed to be left at the upstream beside the parts.
+	// freeBytes is the estimated result memory that the upstream had left beside the parts.
 	freeBytes int64
 }
 
-// PartOutcome is how one part of a call ended.
+// PartOutcome is the result or the failure of one part of a call.
 type PartOutcome struct {
 	// Ref is empty if the part failed.
 	Ref string
@@ -90,60 +91,61 @@
 	Failure PartFailure
 }
 
-// PartFailure says why a part has no result.
+// PartFailure is the reason why a part has no result.
 type PartFailure string
 
-// The ways in which a part fails.
+// The reasons for which a part fails.
 const (
-	// PartLate: its time was over when its turn came.
+	// PartLate: its deadline was too near or had passed when it could have run.
 	PartLate PartFailure = "Late"
-	// PartInputGone: one of its inputs is not there any more.
+	// PartInputGone: one of its inputs is no longer stored.
 	PartInputGone PartFailure = "InputGone"
-	// PartNoMemory: the upstream has no room for the result.
+	// PartNoMemory: the upstream has no memory for the result.
 	PartNoMemory PartFailure = "NoRoom"
 	// PartErrored: the upstream failed on it.
 	PartErrored PartFailure = "Errored"
-	// PartOverloaded: its job was turned away for the queue in front of it.
+	// PartOverloaded: its job was refused because of the queue ahead of it.
 	PartOverloaded PartFailure = "Overloaded"
 	// PartUpstreamsEnded: upstreams have ended while they ran its job.
 	PartUpstreamsEnded PartFailure = "UpstreamsEnded"
-	// PartQuarantined: its request is set aside because upstreams end under it.
+	// PartQuarantined: its request is quarantined because upstreams end while they run it.
 	PartQuarantined PartFailure = "Quarantined"
 )
 
-// jobState is a job with what has become of its parts.
+// jobState is a job with the state of its parts.
 type jobState struct {
 	Job
-	// pending are the parts that wait for a call.
+	// pending lists the parts that wait for a call.
 	pending        []int
 	results        []Result
 	missingResults int
 	failures       int
-	// endedUpstreams counts the upstreams that ended while they ran the job's parts.
+	// endedUpstreams counts the upstreams that ended while they ran parts of the job.
 	endedUpstreams int
 }
 
-// Collector is one node's queue of parts and its calls in flight, over all pools.
+// Collector holds one node's queues of parts and its calls in flight, for all pools.
 type Collector struct {
 	jobs *immutable.Map[uint64, jobState]
 	// queues holds the jobs with waiting parts, by lane.
 	queues *immutable.Map[Lane, queue]
 	calls  *immutable.Map[uint64, Call]
-	// memories maps an upstream to what it holds.
+	// memories maps an upstream to its result memory.
 	memories *immutable.Map[string, resultMemory]
 	// pausedUntil maps an upstream to the time until which it gets no call.
 	pausedUntil *immutable.Map[string, time.Time]
-	// foreignUsages maps an upstream to room that others take there.
+	// foreignUsages maps an upstream to the result memory that others use there.
 	foreignUsages *immutable.Map[string, foreignUsage]
-	// delayedSince maps an upstream whose slot is kept free for room to the time since when.
+	// delayedSince maps an upstream whose next call is delayed until result memory is
+	// released to the time at which the delay began.
 	delayedSince *immutable.Map[string, time.Time]
-	// demand is what workspaces usually ask for, by lane.
+	// demand is the usual demand of the workspaces, by lane.
 	demand     *immutable.Map[Lane, chutefair.Demand]
 	pools      map[string]chuteroute.Batching
 	lastCallID uint64
 }
 
-// New returns a collector without work.
+// New returns a collector without pools and jobs.
 func New() Collector {
 	return Collector{
 		jobs:          immutable.NewMap[uint64, jobState](nil),
@@ -157,7 +159,8 @@
 	}
 }
 
-// WithPools takes in what the configuration says of the pools.
+// WithPools replaces the batching settings by those of the given pools; pools without
+// batching are left out.
 func (c Collector) WithPools(pools map[string]chuteroute.Pool) Collector {
 	c.pools = map[string]chuteroute.Batching{}
 	for name, p := range pools {
@@ -185,25 +188,27 @@
 	return c.withJobState(entry)
 }
 
-// HasJob says whether the job is known and neither dropped nor failed.
+// HasJob reports whether the collector holds the job: it was added, and neither removed
+// nor failed.
 func (c Collector) HasJob(id uint64) bool {
 	_, ok := c.jobs.Get(id)
 
 	return ok
 }
 
-// JobCount counts the jobs that are known.
+// JobCount returns the number of jobs that the collector holds.
 func (c Collector) JobCount() int {
 	return c.jobs.Len()
 }
 
-// FreeRequest names results that an upstream need not keep any longer.
+// FreeRequest names results that an upstream need no longer store.
 type FreeRequest struct {
 	Upstream string
 	Refs     []string
 }
 
-// WithoutJob forgets a job whose results nobody needs any more, and returns what may be freed.
+// WithoutJob removes a job whose results are no longer needed, and returns the results
+// to free.
 func (c Collector) WithoutJob(id uint64) (Collector, []FreeRequest) {
 	j, ok := c.jobs.Get(id)
 	if !ok {
@@ -224,6 +229,7 @@
 	return c, toFree
 }
 
+// appendFree adds a result to the request for its upstream.
 func appendFree(toFree []FreeRequest, result Result) []FreeRequest {
 	for i := range toFree {
 		if toFree[i].Upstream == result.Upstream {
--- a/internal/chutebatch/collector_test.go
+++ b/internal/chutebatch/collector_test.go
@@ -18,7 +18,8 @@
 	fullCall = callTime + 8*partTime
 )
 
-// newCollector returns a collector for pool "p" whose upstreams take 8 parts a call and have the given room.
+// newCollector returns a collector for pool "p" whose upstreams take 8 parts a call and
+// have the given result memory, in bytes.
 func newCollector(memory int64) Collector {
 	return New().WithPools(map[string]chuteroute.Pool{"p": {Name: "p", Batching: &chuteroute.Batching{
 		Slots: 1, BatchSize: 8, CallTime: callTime, PartTime: partTime, Room: memory, ResultTTL: 4 * time.Second,
@@ -53,7 +54,7 @@
 	return c.WithCallEnded(call.ID, CallAnswered, outcomes, "z", 100, now)
 }
 
-// collectorWithResults is a pool of one upstream whose room holds a job's results.
+// collectorWithResults returns a collector with one upstream that stores a job's results.
 func collectorWithResults(memory int64, j Job) Collector {
 	col, calls := newCollector(memory).WithJob(j).FillSlots(lane, testCandidates(1), start)
 	col, _ = endAnswered(col, calls[0], start)
@@ -61,7 +62,7 @@
 	return col
 }
 
-// expectParts fails unless the calls hold these jobs' parts, in this order.
+// expectParts fails the test unless the calls hold parts of these jobs, in this order.
 func expectParts(c *qt.C, calls []Call, want ...uint64) {
 	c.Helper()
 	var got []uint64
@@ -92,7 +93,7 @@
 		c.Assert(calls, qt.HasLen, 0)
 	})
 
-	t.Run("the urgent go first, then those that have to start sooner", func(t *testing.T) {
+	t.Run("urgent jobs go first, then those that are due sooner", func(t *testing.T) {
 		c := qt.New(t)
 		late, soon, urgent := newJob(1, 4), newJob(2, 4), newJob(3, 4)
 		late.Priority, soon.Priority = 1, 1
@@ -101,9 +102,9 @@
 		expectParts(c, calls, 3, 3, 3, 3, 2, 2, 2, 2)
 	})
 
-	t.Run("a request that is late anyhow yields to those that are not", func(t *testing.T) {
-		// In a burst the oldest jobs have missed their aim. Served first they would
-		// make the next ones miss theirs, and so on to the end of the burst.
+	t.Run("a late job runs after jobs that are not late", func(t *testing.T) {
+		// In a burst the oldest jobs have missed their target time. If they ran first,
+		// the next jobs would miss theirs too, and so on to the end of the burst.
 		c := qt.New(t)
 		missed := newJob(1, 8)
 		missed.TargetAt = start
@@ -122,7 +123,7 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("heavy results are made where they are needed, for a while", func(t *testing.T) {
+	t.Run("a job with large results waits for an upstream in its zone, for a limited time", func(t *testing.T) {
 		c := qt.New(t)
 		heavy := newJob(1, 1)
 		heavy.ResultBytes = largeDataBytes
@@ -134,7 +135,7 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("a slow upstream gets parts only if they end in time there", func(t *testing.T) {
+	t.Run("a slow upstream gets parts only if they can end in time there", func(t *testing.T) {
 		c := qt.New(t)
 		slow := []Candidate{{Upstream: "u", Slowness: 4}}
 		waited := start.Add(fullCall)
@@ -148,7 +149,7 @@
 }
 
 func TestRoom(t *testing.T) {
-	t.Run("results that are not freed leave no room for more, until they run out", func(t *testing.T) {
+	t.Run("results that are not freed take memory until they expire", func(t *testing.T) {
 		c := qt.New(t)
 		col, calls := newCollector(50).WithJob(newJob(1, 5)).FillSlots(lane, testCandidates(1), start)
 		col, ended := endAnswered(col, calls[0], start)
@@ -160,7 +161,7 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("freed results make room at once", func(t *testing.T) {
+	t.Run("freed results release memory at once", func(t *testing.T) {
 		c := qt.New(t)
 		col, calls := newCollector(50).WithJob(newJob(1, 5)).FillSlots(lane, testCandidates(1), start)
 		col, _ = endAnswered(col, calls[0], start)
@@ -171,9 +172,9 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("a small call waits for room that comes free soon", func(t *testing.T) {
-		// Room for one part is left while eight wait. Its call would take the slot for
-		// most of the time of a full one, and the room comes free in the middle of it.
+	t.Run("a small call is delayed while memory will be released soon", func(t *testing.T) {
+		// Memory for one part is left while eight parts wait. A call of one part takes
+		// the slot for most of the time of a full call, and memory is released meanwhile.
 		c := qt.New(t)
 		col := collectorWithResults(80, newJob(1, 7))
 		col = col.WithJob(newJob(2, 8))
@@ -185,7 +186,7 @@
 		c.Assert(calls[0].Parts, qt.HasLen, 8)
 	})
 
-	t.Run("it does not wait for long where the room stays taken", func(t *testing.T) {
+	t.Run("a small call is not delayed for long if no memory is released", func(t *testing.T) {
 		c := qt.New(t)
 		col := collectorWithResults(80, newJob(1, 7))
 		col, calls := col.WithJob(newJob(2, 8)).FillSlots(lane, testCandidates(1), start)
@@ -197,17 +198,17 @@
 		c.Assert(calls[0].Parts, qt.HasLen, 1)
 	})
 
-	t.Run("with few parts waiting there is nothing to wait for", func(t *testing.T) {
+	t.Run("a call is not delayed if few parts wait", func(t *testing.T) {
 		c := qt.New(t)
 		col := collectorWithResults(80, newJob(1, 7))
 		_, calls := col.WithJob(newJob(2, 2)).FillSlots(lane, testCandidates(1), start)
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("a refusal for want of room teaches what others hold", func(t *testing.T) {
-		// A collector was killed; what it had made lies at the upstream and nobody
-		// counts it. The next collector's part is refused, and asking again at once
-		// would cost a call each time.
+	t.Run("a refusal for lack of memory updates the estimate of foreign usage", func(t *testing.T) {
+		// A collector was killed, and no collector counts its results at the upstream.
+		// The next collector's part is refused; sending it again at once would cost a
+		// call each time.
 		c := qt.New(t)
 		col, calls := newCollector(50).WithJob(newJob(1, 1)).FillSlots(lane, testCandidates(1), start)
 		col, ended := col.WithCallEnded(calls[0].ID, CallAnswered, []PartOutcome{{Failure: PartNoMemory}}, "z", 100, start)
@@ -219,9 +220,9 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("one part too many teaches no more than its size", func(t *testing.T) {
-		// Results are somewhat larger than announced, and the last part of a call finds
-		// no room. While the call ran, other results were freed: that room is there.
+	t.Run("one refused part raises the estimate of foreign usage by its size only", func(t *testing.T) {
+		// Results are somewhat larger than announced, and the upstream has no memory for
+		// the last part of a call. Results freed while the call ran have released memory.
 		c := qt.New(t)
 		col, calls := newCollector(80).WithJob(newJob(1, 4)).FillSlots(lane, testCandidates(1), start)
 		col, _ = endAnswered(col, calls[0], start)
@@ -232,9 +233,9 @@
 		c.Assert(col.freeBytes("p", "u0", start), qt.Equals, int64(80-30-10))
 	})
 
-	t.Run("a part waits for room as long as it is of use, without repeats to spend", func(t *testing.T) {
-		// All nodes were killed, and what they had made fills the room for seconds. The
-		// callers have time, and nobody has yet earned repeats.
+	t.Run("a part waits for memory until its deadline, with an empty retry budget", func(t *testing.T) {
+		// All nodes were killed, and their results fill the memory for seconds. The
+		// callers have time left, and the new nodes have no retry budget yet.
 		c := qt.New(t)
 		col := newCollector(50).WithJob(newJob(1, 1))
 		now, refusals := start, 0
@@ -253,9 +254,10 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("refusals one after the other do not forget what the first one taught", func(t *testing.T) {
-		// After a kill the upstream is full for seconds. Each refusal leaves a little
-		// less unknown; learnt from alone, the last one says that there is room.
+	t.Run("a refusal does not lower the estimate of foreign usage of earlier ones", func(t *testing.T) {
+		// After a kill the upstream has no memory for seconds. Each refusal proves less
+		// foreign usage than the one before; an estimate from the last one alone would
+		// show free memory.
 		c := qt.New(t)
 		col := newCollector(50)
 		now := start
@@ -276,7 +278,7 @@
 		c.Assert(refusals < 10, qt.IsTrue, qt.Commentf("%d refusals", refusals))
 	})
 
-	t.Run("a result whose caller left meanwhile is freed", func(t *testing.T) {
+	t.Run("a result whose job was removed during the call is freed", func(t *testing.T) {
 		c := qt.New(t)
 		col, calls := newCollector(50).WithJob(newJob(1, 2)).FillSlots(lane, testCandidates(1), start)
 		col, _ = col.WithoutJob(1)
@@ -287,7 +289,7 @@
 }
 
 func TestFailedCalls(t *testing.T) {
-	t.Run("parts of a lost call wait again, within the allowance", func(t *testing.T) {
+	t.Run("parts of a lost call are queued again, up to the limit", func(t *testing.T) {
 		c := qt.New(t)
 		col, calls := newCollector(1000).WithJob(newJob(1, 2)).WithJob(newJob(2, 2)).FillSlots(lane, testCandidates(1), start)
 		_, ended := col.WithCallEnded(calls[0].ID, CallLost, nil, "", 2, start)
@@ -296,9 +298,9 @@
 		c.Assert(ended.Failed[0].Job.ID, qt.Equals, uint64(2))
 	})
 
-	t.Run("an upstream that refused gets no call for a moment", func(t *testing.T) {
-		// Another collector holds its slot: two work side by side while nodes
-		// disagree on the list.
+	t.Run("an upstream that refused a call gets no call during refusedPause", func(t *testing.T) {
+		// Another collector uses its slot: while nodes have different lists of nodes,
+		// two collectors may be active for the same upstream.
 		c := qt.New(t)
 		col, calls := newCollector(1000).WithJob(newJob(1, 1)).FillSlots(lane, testCandidates(1), start)
 		col, _ = col.WithCallEnded(calls[0].ID, CallRefused, nil, "", 10, start)
@@ -308,7 +310,7 @@
 		c.Assert(calls, qt.HasLen, 1)
 	})
 
-	t.Run("a missing input fails the job and frees what it has", func(t *testing.T) {
+	t.Run("a missing input fails the job and frees its results", func(t *testing.T) {
 		c := qt.New(t)
 		col, calls := newCollector(1000).WithJob(newJob(1, 2)).FillSlots(lane, testCandidates(1), start)
 		ends := []PartOutcome{{Ref: "a"}, {Failure: PartInputGone}}
@@ -319,7 +321,7 @@
 		c.Assert(col.JobCount(), qt.Equals, 0)
 	})
 
-	t.Run("a part that fails again and again fails its job", func(t *testing.T) {
+	t.Run("a part that fails repeatedly fails its job", func(t *testing.T) {
 		c := qt.New(t)
 		col := newCollector(1000).WithJob(newJob(1, 1))
 		failed := 0
@@ -335,9 +337,9 @@
 }
 
 func TestAdmission(t *testing.T) {
-	t.Run("a job behind a queue that makes it late is turned away on arrival", func(t *testing.T) {
-		// A burst of 2.6 times the usual load stands in front. Taken in, the job
-		// would be told so only when its time is over.
+	t.Run("a job that the queue makes late is refused on arrival", func(t *testing.T) {
+		// A burst of 2.6 times the usual load is ahead of the job. If it were admitted,
+		// it would be refused only at its deadline.
 		c := qt.New(t)
 		col := newCollector(0)
 		for id := range uint64(40) {
@@ -347,7 +349,7 @@
 		c.Assert(admits(col, newJob(99, 1), testCandidates(40)), qt.IsTrue)
 	})
 
-	t.Run("an urgent job is not turned away for the less urgent in front of it", func(t *testing.T) {
+	t.Run("an urgent job is not refused for less urgent ones in the queue", func(t *testing.T) {
 		c := qt.New(t)
 		col := newCollector(0)
 		for id := range uint64(40) {
@@ -358,20 +360,20 @@
 		c.Assert(admits(col, newJob(99, 1), testCandidates(1)), qt.IsTrue)
 	})
 
-	t.Run("a late job is not turned away where nothing waits", func(t *testing.T) {
+	t.Run("a late job is not refused if the queue is empty", func(t *testing.T) {
 		c := qt.New(t)
 		late := newJob(1, 1)
 		late.TargetAt = start
 		c.Assert(admits(newCollector(0), late, testCandidates(1)), qt.IsTrue)
 	})
 
-	t.Run("a late job that starves behind others is given up, not held to its deadline", func(t *testing.T) {
-		// In a long burst late jobs yield to those that are not late, again and
-		// again. Their callers hear so early enough to come back.
+	t.Run("a late job that starves behind others fails before its deadline", func(t *testing.T) {
+		// In a long burst every late job waits behind jobs that are not late. It fails
+		// early enough for its caller to retry.
 		c := qt.New(t)
 		late := newJob(1, 1)
 		late.TargetAt = start
-		// It has three seconds: after one it has waited for half of what is left.
+		// Its deadline is in 3 s: after 1 s it has waited for half of the time left.
 		late.Deadline = start.Add(3 * time.Second)
 		now := start.Add(1010 * time.Millisecond)
 		_, expired := newCollector(0).WithJob(late).WithJob(newJob(2, 1)).Expire(now.Add(-20 * time.Millisecond))
@@ -384,7 +386,7 @@
 		c.Assert(expired.Failed[0].Reason, qt.Equals, PartOverloaded)
 	})
 
-	t.Run("a job that can't be done in time any more is given up", func(t *testing.T) {
+	t.Run("a job that can't finish before its deadline fails", func(t *testing.T) {
 		c := qt.New(t)
 		col := newCollector(0).WithJob(newJob(1, 1))
 		_, expired := col.Expire(start.Add(5 * time.Second))
@@ -395,7 +397,7 @@
 	})
 }
 
-// admits says whether a collector takes a job in by its own queue.
+// admits reports whether a collector admits a job with the wait that it estimates itself.
 func admits(c Collector, j Job, candidates []Candidate) bool {
 	return c.Admits(j, c.EstimateWait(j, candidates, start), start)
 }
--- a/internal/chutebatch/fair_test.go
+++ b/internal/chutebatch/fair_test.go
@@ -11,19 +11,21 @@
 	"pgregory.net/rapid"
 )
 
-// The load answered here is one loud workspace: 19 workspaces, the largest with a fifth
-// of the requests, ask a pool of 115 parts a second for 81; from 12 s to 21 s one of them
-// sends many times its usual. Before that the collector has seen 12 s of usual load.
+// These tests simulate one bursting workspace: 19 workspaces, the largest with a fifth
+// of the requests, use 81 parts a second of a pool that runs 115; from 12 s to 21 s one of
+// them sends many times its usual rate. Before that the collector has 12 s of usual load.
 
 const (
 	workspaceCount = 19
 	burstStart     = 12 * time.Second
 	burstEnd       = 21 * time.Second
-	// totalRate is the requests a second of all; each has 2.5 parts on average.
+	// totalRate is the usual requests a second of all workspaces; each request has 2.5
+	// parts on average.
 	totalRate = 32.0
 )
 
-// burstCase is one loud workspace, by its rank in size, and how many times its usual it sends.
+// burstCase names the bursting workspace by its rank in size, with the factor by which
+// it multiplies its usual rate.
 type burstCase struct {
 	name   string
 	rank   int
@@ -36,7 +38,7 @@
 	{"a small one", 15, 40},
 }
 
-// workspaceShare is a workspace's part of the usual load.
+// workspaceShare returns a workspace's fraction of the usual load.
 func workspaceShare(rank int) float64 {
 	sum := 0.0
 	for i := range workspaceCount {
@@ -50,7 +52,7 @@
 	return fmt.Sprint("w", rank)
 }
 
-// arrivals draws the requests of all workspaces.
+// arrivals returns random requests of all workspaces.
 func (l burstCase) arrivals(seed uint64) []loadRequest {
 	random := rand.New(rand.NewPCG(seed, 3)) //nolint:gosec // repeatable load
 	var all []loadRequest
@@ -75,7 +77,7 @@
 	return all
 }
 
-// noSharesPolicy is the collector without workspaces.
+// noSharesPolicy is the collector without shares: all requests have the same workspace.
 type noSharesPolicy struct {
 	collectorPolicy
 }
@@ -86,7 +88,8 @@
 	return p.collectorPolicy.admit(r, now, upstreams)
 }
 
-// equalSharesPolicy is the collector behind strict equal shares of its full rate.
+// equalSharesPolicy admits at most an equal share of the full rate for each workspace,
+// and uses the collector for the rest.
 type equalSharesPolicy struct {
 	noSharesPolicy
 
@@ -108,7 +111,7 @@
 	return p.noSharesPolicy.admit(r, now, upstreams)
 }
 
-// burstResult is how a load with a loud workspace ended.
+// burstResult counts the requests of the bursting workspace and those of all others.
 type burstResult struct {
 	others, bursting loadResult
 }
@@ -147,10 +150,10 @@
 }
 
 func TestLoudWorkspace(t *testing.T) {
-	t.Run("the others keep their service, and free capacity goes to the loud one", func(t *testing.T) {
-		// One workspace fills the queue. Without shares its jobs take the places of all
-		// alike, and everybody is late or refused; with strict ones most of its requests
-		// are refused while upstreams are idle.
+	t.Run("other workspaces are served as before, and the bursting one gets the free capacity", func(t *testing.T) {
+		// One workspace fills the queue. Without shares its jobs delay those of all
+		// workspaces, and requests of all are late or refused; with strict shares most of
+		// its requests are refused while upstreams are idle.
 		c := qt.New(t)
 		for _, l := range burstCases {
 			results := map[string]burstResult{}
@@ -169,7 +172,7 @@
 }
 
 func TestShares(t *testing.T) {
-	t.Run("no work within its share waits behind work beyond, and nothing is idle while parts wait", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("no job within its share waits behind one beyond its share, and no slot is free while parts wait", rapid.MakeCheck(func(t *rapid.T) {
 		c := newCollector(0)
 		now := start
 		var id uint64
@@ -199,7 +202,7 @@
 	}))
 }
 
-// BenchmarkLoudWorkspace prints how requests end beside one loud workspace.
+// BenchmarkLoudWorkspace reports how requests end while one workspace bursts.
 func BenchmarkLoudWorkspace(b *testing.B) {
 	for _, l := range burstCases {
 		for _, name := range []string{"ours", "blind", "equal shares"} {
--- a/internal/chutebatch/fill.go
+++ b/internal/chutebatch/fill.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// largeDataBytes is the size of a stage's inputs and results from which on they are
-	// worth keeping in one zone: a tenth of a second's share of a zone's link.
+	// largeDataBytes is the result size from which a job waits for an upstream in the zone
+	// where its results are needed: a tenth of what a zone's link carries in a second.
 	largeDataBytes = 100_000
-	// slowThreshold is the measured time of calls, against the expected one, from which
-	// on an upstream gets parts only if the others can't take them.
+	// slowThreshold is the ratio of measured to expected call time above which an upstream
+	// gets parts only if the others can't run them.
 	slowThreshold = 2.2
 )
 
@@ -22,11 +22,12 @@
 type Candidate struct {
 	Upstream string
 	Zone     string
-	// Slowness is the measured time of its calls against the expected one; 0 if unknown.
+	// Slowness is the ratio of measured to expected call time; 0 if unknown.
 	Slowness float64
 }
 
-// FillSlots gives each free slot of the lane's upstreams a call, while parts wait, and returns the calls.
+// FillSlots starts a call in each free slot of the candidates while parts wait in the
+// lane, and returns the calls.
 func (c Collector) FillSlots(l Lane, candidates []Candidate, now time.Time) (Collector, []Call) {
 	batching, ok := c.pools[l.Pool]
 	if !ok || c.WaitingParts(l) == 0 {
@@ -54,7 +55,8 @@
 	return round.collector, calls
 }
 
-// freeCandidates lists the seats with a free slot, the quick ones first.
+// freeCandidates lists the candidates that have a free slot and are not paused, slow
+// ones last.
 func (c Collector) freeCandidates(pool string, candidates []Candidate, now time.Time) []Candidate {
 	callsInFlight := map[string]int{}
 	for i := c.calls.Iterator(); !i.Done(); {
@@ -73,7 +75,7 @@
 	return free
 }
 
-// slowClass is 1 for a slow seat, else 0.
+// slowClass returns 1 for a slow candidate, else 0.
 func (s Candidate) slowClass() int {
 	if s.Slowness > slowThreshold {
 		return 1
@@ -82,23 +84,24 @@
 	return 0
 }
 
-// fillRound is one round of Fill.
+// fillRound is the state of one run of FillSlots.
 type fillRound struct {
 	collector  Collector
 	lane       Lane
 	batching   chuteroute.Batching
 	now        time.Time
 	candidates []Candidate
-	// freeBytes is the room at each seat.
+	// freeBytes is the free result memory at each candidate.
 	freeBytes []int64
 }
 
-// canFinish says whether the job's parts can be done before nobody waits any more.
+// canFinish reports whether a call that starts now can end before the job's deadline.
 func (f *fillRound) canFinish(j *jobState) bool {
 	return f.now.Add(f.batching.CallTime).Before(j.Deadline)
 }
 
-// nextCandidate returns the seat for the first waiting job that any free seat suits.
+// nextCandidate returns the index of the candidate for the first waiting job that can
+// run at one; false if there is none.
 func (f *fillRound) nextCandidate() (int, bool) {
 	candidateIndex := -1
 	f.collector.visitWaiting(f.lane, f.now, func(j *jobState) bool {
@@ -112,7 +115,8 @@
 	return candidateIndex, candidateIndex >= 0
 }
 
-// candidateFor returns a seat for the job, at best one where its results are needed; -1 if there is none.
+// candidateFor returns the index of a candidate for the job, preferably in the zone where
+// its results are needed; -1 if there is none.
 func (f *fillRound) candidateFor(j *jobState) int {
 	fallback := -1
 	for i, s := range f.candidates {
@@ -130,8 +134,8 @@
 	return fallback
 }
 
-// startCall takes the parts of one call, in the order of their jobs, and the seat out of the
-// round; false means that the seat is better left free for now.
+// startCall removes the candidate from the round and starts a call of waiting parts
+// there, in queue order; false means that the slot stays free for now.
 func (f *fillRound) startCall(candidateIndex int) (Call, bool) {
 	var parts []Part
 	freeBytes := f.freeBytes[candidateIndex]
@@ -168,17 +172,18 @@
 	return call, true
 }
 
-// smallCallShare is the part of a full call below which a call is small: its fixed cost is
-// then well above that of its parts.
+// smallCallShare is the fraction of a full batch below which a call is small: its fixed
+// cost is then well above that of its parts.
 const smallCallShare = 0.5
 
-// shouldDelayCall says whether a call is small only for want of room that comes free soon.
+// shouldDelayCall reports whether a call is small only because result memory is short,
+// and memory will be released soon.
 //
-// Each call has a fixed cost of several times that of a part. Where room for
-// results binds, a call of three parts takes the slot for 0.16 s while the room for
-// twenty comes free: pools whose calls came out full and tiny by turns made 30 of
-// 42 parts a call under load. Where the room stays taken, small calls go on after a
-// while, so that parts that need little room do not wait for it.
+// The fixed cost of a call is several times the cost of a part. Where result memory is
+// the bottleneck, a call of 3 parts takes the slot for 0.16 s while memory for 20 is
+// released: pools whose calls were full and tiny in turn averaged 30 of 42 parts a call
+// under load. If no memory is released within CallTime, the small call goes out, so that
+// parts that need little memory do not wait longer.
 func (f *fillRound) shouldDelayCall(upstream string, parts, notFitting int) bool {
 	smallSize := int(smallCallShare * float64(f.batching.BatchSize))
 	if parts >= smallSize || parts+notFitting < smallSize || !f.collector.hasExpiringResults(upstream, f.now) {
@@ -191,7 +196,7 @@
 	case !delayed:
 		f.collector.delayedSince = f.collector.delayedSince.Set(upstream, f.now)
 	case f.now.Sub(since) >= f.batching.CallTime:
-		// The small call would have ended by now.
+		// A small call sent at once would have ended by now.
 		f.collector.delayedSince = f.collector.delayedSince.Delete(upstream)
 
 		return false
@@ -200,14 +205,15 @@
 	return true
 }
 
-// hasExpiringResults says whether results at an upstream are known that will be freed.
+// hasExpiringResults reports whether the upstream stores results of this collector that
+// will be freed or expire.
 func (c Collector) hasExpiringResults(upstream string, now time.Time) bool {
 	memory, _ := c.memories.Get(upstream)
 
 	return slices.ContainsFunc(memory.allocations, func(h allocation) bool { return !h.expiresAt.IsZero() && now.Before(h.expiresAt) })
 }
 
-// mayRunAt says whether the job's parts may run at the seat by now.
+// mayRunAt reports whether the job's parts may run at the candidate now.
 func (f *fillRound) mayRunAt(j *jobState, s Candidate) bool {
 	waited := f.now.Sub(j.QueuedAt)
 	if s.slowClass() > 0 && (waited < f.preferenceWait() || !f.finishesInTime(j, s)) {
@@ -220,14 +226,16 @@
 	return waited >= f.preferenceWait()
 }
 
-// preferenceWait is how long heavy parts wait for an upstream in the zone where their data
-// is, and all parts for a quick upstream before a slow one: a full call, after which it
-// is free again. Sooner, data crosses zones that could have stayed; later, the answer is late.
+// preferenceWait returns how long jobs with large data wait for an upstream in their
+// zone, and all jobs for an upstream that is not slow: the time of a full call, after
+// which such an upstream is free again. A shorter wait sends data to other zones without
+// need, a longer one makes answers late.
 func (f *fillRound) preferenceWait() time.Duration {
 	return f.batching.FullCall()
 }
 
-// finishesInTime says whether a full call at a slow seat ends in time to be of use.
+// finishesInTime reports whether a full call at a slow candidate ends early enough for
+// the job: before its target time, or before its deadline if it is late already.
 func (f *fillRound) finishesInTime(j *jobState, s Candidate) bool {
 	fullCallTime := f.batching.FullCall()
 	callEnd := f.now.Add(time.Duration(s.Slowness*float64(fullCallTime)) + j.TimeAfterStage)
@@ -238,19 +246,20 @@
 	return callEnd.Before(j.TargetAt)
 }
 
-// hasLargeData says whether the job's data should not cross zones.
+// hasLargeData reports whether the job's data should not cross zones.
 //
-// Each part fetches all inputs, so several of them outweigh the rest. Results weigh
-// only if the call fetches them: those for another stage are fetched where that stage
-// is then made, beside them. Waiting for a zone with them as well would take time from the
-// aim of each request with a chain of stages, for nothing.
+// Each part fetches all inputs, so several inputs outweigh the results. The size of the
+// results counts only at the last stage: the results of other stages are fetched by the
+// next stage, which runs near them. If those jobs waited for a zone too, each request
+// with a chain of stages would lose time before its target for no gain.
 func (j *jobState) hasLargeData() bool {
 	isLastStage := len(j.FollowingPools) == 0
 
 	return isLastStage && j.ResultBytes*int64(j.Parts) >= largeDataBytes || len(j.Inputs) > 1
 }
 
-// withCallStarted takes the call's parts out of the queue and reserves room for their results.
+// withCallStarted removes the call's parts from the queue and reserves memory for their
+// results.
 func (c Collector) withCallStarted(call Call) (Collector, Call) {
 	var reservations []allocation
 	for _, p := range call.Parts {
--- a/internal/chutebatch/isolation.go
+++ b/internal/chutebatch/isolation.go
@@ -1,10 +1,10 @@
 package chutebatch
 
-// WithUpstreamEnded takes in that an upstream's process ended while it ran a call: the jobs
-// whose parts were in it run alone from now on.
+// WithUpstreamEnded records that an upstream's process ended while it ran a call: the
+// jobs whose parts were in the call are isolated from now on.
 //
-// One of them may end whatever runs it. Queued again side by side they would run side by
-// side again, and nobody could tell which one it is.
+// One of them may crash every upstream that runs it. If they were queued again without
+// isolation, they would share calls again and the cause could not be identified.
 func (c Collector) WithUpstreamEnded(call Call) Collector {
 	seen := map[uint64]bool{}
 	for _, p := range call.Parts {
@@ -21,7 +21,8 @@
 	return c
 }
 
-// WithoutRequest gives up the waiting jobs of a request that is not to run any more.
+// WithoutRequest fails the waiting jobs of a quarantined request, given by its
+// fingerprint.
 func (c Collector) WithoutRequest(fingerprint string) (Collector, JobChanges) {
 	var changes JobChanges
 	for i := c.jobs.Iterator(); !i.Done(); {
--- a/internal/chutebatch/late.go
+++ b/internal/chutebatch/late.go
@@ -6,27 +6,30 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// lateWaitShare is the part of a caller's time left for which a late job waits: the other
-// half is left for the stages that follow, or for the caller's other sending.
+// lateWaitShare is the fraction of a caller's remaining time for which a late job may
+// wait. The other half is left for the stages that follow, or for the caller's retry.
 const lateWaitShare = 1.0 / 2
 
-// AdmissionDeadline is the time up to which an answer is worth waiting for in a queue.
+// AdmissionDeadline returns the time by which a queued request must be expected to
+// finish to be admitted: halfway between its target time and its deadline.
 //
-// A late answer is worth less than one on time and more than none. Turned away for the
-// aim alone, callers come back with their aim passed and meet the same queue: in bursts
-// that take a pool to its limit for some seconds callers were refused twice, though the
-// queue was gone long before their deadlines. Held to the deadline, they would have no
-// time for their other sending. So they are held for a part of it.
+// A late answer is worth less than one on time and more than none. If requests were
+// refused as soon as they miss their target time, callers would retry with the target
+// already missed and find the same queue: in bursts that loaded a pool to its capacity
+// for some seconds, callers were refused twice although the queue had emptied long
+// before their deadlines. If requests waited until the deadline, callers would have no
+// time to retry.
 func AdmissionDeadline(targetAt, deadline time.Time) time.Time {
 	return targetAt.Add(time.Duration(lateWaitShare * float64(max(0, deadline.Sub(targetAt)))))
 }
 
-// IsLate says whether a job can't make its aim any more, even if it had its turn now.
+// IsLate reports whether a job would miss its target time even if it started now.
 func (c Collector) IsLate(j Job, now time.Time) bool {
 	return j.queueKey().dueBy < fullCallEnd(c.pools[j.Pool], now)
 }
 
-// lateWait is how long a job has waited here since it could last be on time.
+// lateWait returns how long a job has waited here since the last moment at which it
+// could have started and been on time.
 func (j *Job) lateWait(b chuteroute.Batching, now time.Time) time.Duration {
 	lateSince := j.TargetAt.Add(-j.TimeAfterStage - b.FullCall())
 	if lateSince.Before(j.QueuedAt) {
@@ -36,7 +39,8 @@
 	return now.Sub(lateSince)
 }
 
-// waitedTooLong says whether a late job has waited for as long as it may.
+// waitedTooLong reports whether a late job has waited for more than lateWaitShare of
+// the time until its deadline.
 func (j *Job) waitedTooLong(b chuteroute.Batching, now time.Time) bool {
 	return j.lateWait(b, now) > time.Duration(lateWaitShare*float64(j.Deadline.Sub(now)))
 }
--- a/internal/chutebatch/load_test.go
+++ b/internal/chutebatch/load_test.go
@@ -9,11 +9,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The load answered here is a burst of one kind of request on a stage's pool, of which
-// an upstream is lost for a while: 4 upstreams, calls of 150 ms and 16 ms a part, 8 parts
-// a call, which is 115 parts a second; 60 a second as usual, twice that and more for six
-// seconds, 86 a second while an upstream is gone. Aims leave half a second for waiting,
-// deadlines many seconds. Callers who are turned away come back once, after 2 s.
+// These tests simulate bursts of one kind of request at the pool of one stage, with
+// upstreams lost for some time. The pool has 4 upstreams; a call takes 150 ms plus 16 ms
+// a part and has 8 parts at most, so the capacity is 115 parts a second, and 86 without
+// one upstream. The usual load is 60 parts a second; a burst is more than twice that for
+// 6 s. Target times leave half a second for waiting, deadlines many seconds. Callers that
+// are refused retry once, after 2 s.
 
 const (
 	loadStep       = 5 * time.Millisecond
@@ -23,10 +24,11 @@
 	loadRetryDelay = 2 * time.Second
 )
 
-// loadCase is one load on a pool.
+// loadCase describes one simulated load on the pool.
 type loadCase struct {
 	name string
-	// burstFactor multiplies the load from 5 s to 11 s; gone upstreams are away from 6 s to 10 s.
+	// burstFactor multiplies the load from 5 s to 11 s; lostUpstreams is the number of
+	// upstreams that are missing from 6 s to 10 s.
 	burstFactor   float64
 	lostUpstreams int
 }
@@ -38,7 +40,7 @@
 	{"half of the pool lost", 1, 2},
 }
 
-// loadRequest is one caller's request; its aim and deadline hold for both of its sendings.
+// loadRequest is one caller's request; its retry has the same target time and deadline.
 type loadRequest struct {
 	id        uint64
 	parts     int
@@ -46,20 +48,23 @@
 	targetAt  time.Time
 	deadline  time.Time
 	attempts  int
-	// workspace is empty where the load does not tell them apart.
+	// workspace is empty if the load has no workspaces.
 	workspace string
 }
 
-// loadPolicy decides who waits for what.
+// loadPolicy decides which requests wait, run or fail.
 type loadPolicy interface {
-	// admit takes a request in, or turns it away.
+	// admit queues a request and returns true, or refuses it.
 	admit(r loadRequest, now time.Time, upstreams int) bool
-	// startCalls starts calls at idle upstreams and returns who is in each, and who is given up.
+	// startCalls starts calls at idle upstreams and returns them, with the ids of the
+	// requests that expired.
 	startCalls(now time.Time, idle []Candidate, upstreams int) (calls []loadCall, expired []uint64)
-	// endCall takes the end of a call and returns whose parts are all done.
+	// endCall records the end of a call and returns the ids of the requests that are
+	// completed by it.
 	endCall(call loadCall, now time.Time) []uint64
 }
 
+// loadCall is a call in flight at an upstream.
 type loadCall struct {
 	upstream   string
 	parts      int
@@ -68,24 +73,25 @@
 	requestIDs []uint64
 }
 
-// loadResult counts how requests ended.
+// loadResult counts requests by how they ended.
 type loadResult struct {
 	onTime, late, refused, total int
 }
 
-// meanValue is what the answers are worth, a late one a seventh of one on time.
+// meanValue returns the mean value of a request: 1 for an answer on time, 0.15 for a
+// late one, 0 for none.
 func (r loadResult) meanValue() float64 {
 	const lateValue = 0.15
 
 	return (float64(r.onTime) + lateValue*float64(r.late)) / float64(r.total)
 }
 
-// servedShare is the share that got an answer at all.
+// servedShare returns the fraction of the requests that got an answer.
 func (r loadResult) servedShare() float64 {
 	return float64(r.onTime+r.late) / float64(r.total)
 }
 
-// arrivals draws the requests of a load.
+// arrivals returns random requests of a load.
 func (l loadCase) arrivals(seed uint64) []loadRequest {
 	random := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // repeatable load
 	var all []loadRequest
@@ -104,7 +110,7 @@
 	return all
 }
 
-// upstreamCount is how many upstreams there are at a moment.
+// upstreamCount returns the number of upstreams at a time.
 func (l loadCase) upstreamCount(now time.Time) int {
 	if at := now.Sub(start); at > 6*time.Second && at < 10*time.Second {
 		return 4 - l.lostUpstreams
@@ -113,7 +119,7 @@
 	return 4
 }
 
-// loadRun is one load under one policy.
+// loadRun is the simulation of one load under one policy.
 type loadRun struct {
 	loadCase
 	policy     loadPolicy
@@ -125,7 +131,7 @@
 	byWorkspace map[string]*loadResult
 }
 
-// run plays a load under a policy.
+// run simulates a load under a policy.
 func (l loadCase) run(p loadPolicy, seed uint64) loadResult {
 	return newLoadRun(l, p, l.arrivals(seed)).simulate()
 }
@@ -145,7 +151,7 @@
 	return r
 }
 
-// simulate runs the load to its end.
+// simulate runs the load to its end and returns the counts.
 func (r *loadRun) simulate() loadResult {
 	for now := start; now.Before(start.Add(loadLength + loadDeadline)); now = now.Add(loadStep) {
 		r.admitArrivals(now)
@@ -156,7 +162,7 @@
 	return r.result
 }
 
-// admitArrivals offers the policy those who come now.
+// admitArrivals passes the requests that have arrived by now to the policy.
 func (r *loadRun) admitArrivals(now time.Time) {
 	for len(r.arriving) > 0 && !r.arriving[0].arrivesAt.After(now) {
 		next := r.arriving[0]
@@ -168,7 +174,7 @@
 	}
 }
 
-// refuse sends a caller off, who comes back once.
+// refuse refuses a request, whose caller retries once if its deadline allows it.
 func (r *loadRun) refuse(id uint64, now time.Time) {
 	request, ok := r.unanswered[id]
 	delete(r.unanswered, id)
@@ -181,7 +187,7 @@
 	slices.SortStableFunc(r.arriving, func(a, b loadRequest) int { return a.arrivesAt.Compare(b.arrivesAt) })
 }
 
-// endCalls takes the calls that have ended, and returns the upstreams that are busy.
+// endCalls ends the calls that are over, and returns the upstreams that are busy.
 func (r *loadRun) endCalls(now time.Time) map[string]bool {
 	busy := map[string]bool{}
 	r.calls = slices.DeleteFunc(r.calls, func(c loadCall) bool {
@@ -215,7 +221,7 @@
 	}
 }
 
-// countAnswer counts an answer.
+// countAnswer counts an answer that is given now.
 func (r *loadResult) countAnswer(request loadRequest, now time.Time) {
 	switch {
 	case !now.After(request.targetAt):
@@ -225,7 +231,7 @@
 	}
 }
 
-// collectorPolicy is the collector itself.
+// collectorPolicy is the policy of the Collector.
 type collectorPolicy struct {
 	c Collector
 }
@@ -272,10 +278,11 @@
 	return changes.Completed
 }
 
-// queuePolicy is first come, first served.
+// queuePolicy serves requests in the order of arrival.
 type queuePolicy struct {
 	requests []loadRequest
-	// refusesLate turns away who would be late; forever runs also what nobody waits for.
+	// refusesLate refuses requests that would be late; neverExpires also runs requests
+	// whose deadline has passed.
 	refusesLate  bool
 	neverExpires bool
 }
@@ -328,7 +335,7 @@
 	return call.requestIDs
 }
 
-// loadPolicies are the collector and what it is compared with.
+// loadPolicies returns the collector's policy ("ours") and those it is compared with.
 func loadPolicies() map[string]func() loadPolicy {
 	return map[string]func() loadPolicy{
 		"ours":           func() loadPolicy { return &collectorPolicy{c: newCollector(0)} },
@@ -339,13 +346,13 @@
 }
 
 const (
-	// testSeeds and measuredSeeds are how many draws of a load the tests and the
-	// benchmark play.
+	// testSeeds and benchmarkSeeds are the numbers of random loads that the tests and
+	// the benchmark simulate for each case.
 	testSeeds      = 1
 	benchmarkSeeds = 4
 )
 
-// sumOverSeeds sums a load over some seeds.
+// sumOverSeeds simulates a load with some seeds and returns the sums.
 func (l loadCase) sumOverSeeds(policy func() loadPolicy, seeds uint64) loadResult {
 	var sum loadResult
 	for seed := range seeds {
@@ -360,9 +367,10 @@
 }
 
 func TestLoad(t *testing.T) {
-	t.Run("under bursts the answers are worth no less than under simpler policies", func(t *testing.T) {
-		// A burst fills the pool for seconds. Served in order, each caller waits until
-		// it is just too late; turned away at once, callers return to the same queue.
+	t.Run("under bursts the mean value of answers is no lower than with simpler policies", func(t *testing.T) {
+		// A burst fills the pool for seconds. Served in order of arrival, each request
+		// waits until it is just too late; refused at once, callers retry and meet the
+		// same queue.
 		c := qt.New(t)
 		for _, l := range loadCases {
 			ours := l.sumOverSeeds(loadPolicies()["ours"], testSeeds)
@@ -374,9 +382,10 @@
 		}
 	})
 
-	t.Run("a burst that is over before the deadlines leaves fewer without an answer", func(t *testing.T) {
-		// Refused at their aims, callers would meet the same queue again and be refused
-		// for good, while their deadlines are seconds off and the queue is soon gone.
+	t.Run("in a burst shorter than the deadlines more requests are answered than with refusal at the target time", func(t *testing.T) {
+		// If requests were refused when they miss their target time, the retries would
+		// meet the same queue and be refused for good, although the queue empties seconds
+		// before the deadlines.
 		c := qt.New(t)
 		for _, l := range loadCases {
 			ours, refusing := l.sumOverSeeds(loadPolicies()["ours"], testSeeds), l.sumOverSeeds(loadPolicies()["refuse at once"], testSeeds)
@@ -386,7 +395,7 @@
 	})
 }
 
-// BenchmarkLoad prints how requests end under each load and policy.
+// BenchmarkLoad reports how requests end under each load and policy.
 func BenchmarkLoad(b *testing.B) {
 	for _, l := range loadCases {
 		policies := loadPolicies()
--- a/internal/chutebatch/memory.go
+++ b/internal/chutebatch/memory.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// allocation is the room that one result takes.
+// allocation is the result memory that one result takes.
 type allocation struct {
 	part  Part
 	ref   string
@@ -14,20 +14,21 @@
 	expiresAt time.Time
 }
 
-// resultMemory is what one upstream holds; its slice is replaced, never changed.
+// resultMemory is the memory that results take at one upstream; its slice is replaced,
+// never modified.
 type resultMemory struct {
 	allocations []allocation
 	bytes       int64
-	// firstExpiry is when the first result runs out; zero if none does.
+	// firstExpiry is when the first result expires; zero if no result has an expiry time.
 	firstExpiry time.Time
 }
 
-// with returns the room with more results in it.
+// with returns the memory with more allocations.
 func (r resultMemory) with(more ...allocation) resultMemory {
 	return newResultMemory(append(slices.Clip(r.allocations), more...))
 }
 
-// without returns the room without the results that drop names.
+// without returns the memory without the allocations for which drop returns true.
 func (r resultMemory) without(drop func(h allocation) bool) resultMemory {
 	return newResultMemory(slices.DeleteFunc(slices.Clone(r.allocations), drop))
 }
@@ -44,7 +45,7 @@
 	return memory
 }
 
-// at returns the room without what the upstream itself has dropped by now.
+// at returns the memory without the results that have expired by now.
 func (r resultMemory) at(now time.Time) resultMemory {
 	if r.firstExpiry.IsZero() || now.Before(r.firstExpiry) {
 		return r
@@ -53,22 +54,22 @@
 	return r.without(func(h allocation) bool { return !h.expiresAt.IsZero() && !now.Before(h.expiresAt) })
 }
 
-// freeBytes is the room at an upstream that new results may take.
+// freeBytes returns the memory that new results may take at an upstream, in bytes.
 func (c Collector) freeBytes(pool, upstream string, now time.Time) int64 {
 	memory, _ := c.memories.Get(upstream)
 
 	return c.pools[pool].Room - memory.at(now).bytes - c.foreignBytes(upstream, now)
 }
 
-// foreignUsage is room that results take which this collector did not have made.
+// foreignUsage is the memory taken by results that this collector did not request.
 type foreignUsage struct {
 	bytes int64
 	since time.Time
 	until time.Time
 }
 
-// foreignBytes estimates the room that others' results take at an upstream now; it
-// ebbs away over the time that results are kept.
+// foreignBytes estimates the memory that other collectors' results take at an upstream
+// now; the estimate decreases linearly to 0 from since to until.
 func (c Collector) foreignBytes(upstream string, now time.Time) int64 {
 	usage, ok := c.foreignUsages.Get(upstream)
 	if !ok || !now.Before(usage.until) {
@@ -79,13 +80,14 @@
 	return int64(float64(usage.bytes) * remaining)
 }
 
-// withMemoryRefused takes in that an upstream had no room for parts that should have fitted.
+// withMemoryRefused records that an upstream had no memory for parts that should have
+// fitted, and updates the estimate of foreign usage.
 //
-// What an earlier collector had made lies there until its time is over, or until
-// its leases end, and results may be larger than announced. A collector that kept
-// asking would spend every call on parts without room, each at the full price of a
-// call. What counts is the room believed in when the call went out: results freed
-// while it ran have made room since.
+// Results requested by an earlier collector are stored there until they expire or their
+// leases end, and results may be larger than announced. Without the estimate, the
+// collector would repeat calls whose parts are refused, each at the full cost of a call.
+// The free memory that was estimated when the call was sent counts, because results
+// that were freed while it ran have released memory since.
 func (c Collector) withMemoryRefused(call Call, refusedBytes int64, now time.Time) Collector {
 	batching := c.pools[call.Pool]
 	ownMemory, _ := c.memories.Get(call.Upstream)
@@ -95,7 +97,7 @@
 	}
 	usage := foreignUsage{bytes: unknownBytes, since: now, until: now.Add(batching.ResultTTL)}
 	if previous, ok := c.foreignUsages.Get(call.Upstream); ok && now.Before(previous.until) {
-		// What lies there was known of: it runs out when it was to run out.
+		// The foreign results were known before, so their expiry time stays the same.
 		usage.until = previous.until
 	}
 	c.foreignUsages = c.foreignUsages.Set(call.Upstream, usage)
--- a/internal/chutebatch/outcome.go
+++ b/internal/chutebatch/outcome.go
@@ -6,71 +6,76 @@
 )
 
 const (
-	// maxFailuresPerPart bounds how often the parts of one job may fail and be queued again.
+	// maxFailuresPerPart is the number of failures after which a job fails, as an average
+	// over its parts.
 	maxFailuresPerPart = 3
-	// maxEndedUpstreams is the number of upstreams that may end under one job. Tries count parts,
-	// and a job of sixteen has 48: enough to end each upstream of a pool several times
-	// over, in a second. A job that stood beside such a one runs alone after the first
-	// end, and is done by its second call.
+	// maxEndedUpstreams is the number of upstreams that may end while they run one job.
+	// maxFailuresPerPart is not a sufficient bound: it allows a job of 16 parts 48 failures,
+	// enough to crash each upstream of a pool several times within a second. A job that
+	// only shared a call with the cause is isolated after the first end and completes with
+	// its second call.
 	maxEndedUpstreams = 2
-	// refusedPause is how long an upstream that refused a call gets no other: its
-	// slot is taken by a call of somebody else, which lasts longer than this.
+	// refusedPause is how long an upstream that refused a call gets no other call: its
+	// slot is taken by another collector's call, which lasts longer than this.
 	refusedPause = 60 * time.Millisecond
 )
 
 // CallOutcome is how a call ended as a whole.
 type CallOutcome string
 
-// The ends of a call.
+// The outcomes of a call.
 const (
-	// CallAnswered: each part has its own end.
+	// CallAnswered: the upstream answered, and each part has its own outcome.
 	CallAnswered CallOutcome = "Answered"
-	// CallRefused: the upstream certainly did not take the call.
+	// CallRefused: the upstream certainly did not run the call.
 	CallRefused CallOutcome = "Refused"
-	// CallLost: the upstream may or may not have worked on it.
+	// CallLost: the upstream may or may not have run the call.
 	CallLost CallOutcome = "Lost"
 )
 
-// JobChanges is what follows from the end of a call.
+// JobChanges lists what the end of a call or of an upstream, or the passing of time,
+// changed in the jobs.
 type JobChanges struct {
-	// Completed lists the jobs that have all their results now.
+	// Completed lists the ids of the jobs that now have all their results.
 	Completed []uint64
-	// Failed lists the jobs that are given up.
+	// Failed lists the jobs that have failed and are removed.
 	Failed []FailedJob
-	// ToFree are results of jobs that nobody waits for any more.
+	// ToFree lists results that are no longer needed.
 	ToFree []FreeRequest
-	// Requeued counts the parts that wait again after an upstream may have worked on
-	// them, or refused them, which the pool's repeats are spent on.
+	// Requeued counts the parts that are queued again after an upstream may have run
+	// them or refused them. They count against the retry budget of the pool.
 	Requeued int
 }
 
-// FailedJob is a job without results and why.
+// FailedJob is a job that failed, with the reason.
 type FailedJob struct {
 	Job    Job
 	Reason PartFailure
 }
 
-// Results returns where a job's results lie, in the order of its parts.
+// Results returns the locations of a job's results, in the order of its parts.
 func (c Collector) Results(id uint64) []Result {
 	j, _ := c.jobs.Get(id)
 
 	return j.results
 }
 
-// Job returns a job as it was asked for.
+// Job returns a job that the collector holds, the zero Job if it does not.
 func (c Collector) Job(id uint64) Job {
 	j, _ := c.jobs.Get(id)
 
 	return j.Job
 }
 
-// Call returns a call in flight.
+// Call returns a call in flight; false if there is none with this id.
 func (c Collector) Call(id uint64) (Call, bool) {
 	return c.calls.Get(id)
 }
 
-// WithCallEnded takes in the end of a call; ends has one entry a part if it was answered.
-// At most allowed parts are queued again, what fails beyond that fails its job.
+// WithCallEnded applies the outcome of a call that ran in the zone; partOutcomes has one
+// entry for each part if the call was answered. At most maxRequeued failed parts are
+// queued again; each further one fails its job. Parts that the upstream had no memory for
+// are queued again without limit.
 func (c Collector) WithCallEnded(id uint64, outcome CallOutcome, partOutcomes []PartOutcome, zone string, maxRequeued int, now time.Time) (Collector, JobChanges) {
 	call, ok := c.calls.Get(id)
 	if !ok {
@@ -95,7 +100,8 @@
 	return completion.collector, completion.changes
 }
 
-// sumRefusedBytes sums the sizes of the parts that found no room.
+// sumRefusedBytes returns the expected size of the results that the upstream had no
+// memory for.
 func (c Call) sumRefusedBytes(partOutcomes []PartOutcome) int64 {
 	refusedBytes := int64(0)
 	for i := range min(len(partOutcomes), len(c.Jobs)) {
@@ -107,11 +113,11 @@
 	return refusedBytes
 }
 
-// Expire gives up the jobs whose waiting parts can't be done in time any more, and
-// those that are late and starve behind others that are not.
+// Expire fails the jobs whose waiting parts can't finish before their deadline, and
+// late jobs that have waited too long behind jobs that are not late.
 //
-// Without it they would stand in the queue until their callers' deadlines, and be
-// run after their inputs are gone, at the full price of a call.
+// Without it such jobs would wait in the queue until their callers' deadlines, and run
+// after their inputs are gone, at the full cost of a call.
 func (c Collector) Expire(now time.Time) (Collector, JobChanges) {
 	var changes JobChanges
 	for i := c.jobs.Iterator(); !i.Done(); {
@@ -126,7 +132,7 @@
 	return c, changes
 }
 
-// expiryReason says why a waiting job is to be given up; empty if it is not.
+// expiryReason returns why a waiting job fails now; empty if it does not.
 func (c Collector) expiryReason(j *jobState, now time.Time) PartFailure {
 	batching := c.pools[j.Pool]
 	switch {
@@ -141,7 +147,7 @@
 	}
 }
 
-// hasTimelyJobs says whether jobs that are not late wait in a lane.
+// hasTimelyJobs reports whether jobs that are not late wait in a lane.
 func (c Collector) hasTimelyJobs(l Lane, now time.Time) bool {
 	earliestEnd := fullCallEnd(c.pools[l.Pool], now)
 	timely := false
@@ -154,7 +160,7 @@
 	return timely
 }
 
-// merged adds up what follows from two ends.
+// merged returns the changes of both values.
 func (e JobChanges) merged(other JobChanges) JobChanges {
 	return JobChanges{
 		Completed: append(e.Completed, other.Completed...), Failed: append(e.Failed, other.Failed...),
@@ -162,7 +168,7 @@
 	}
 }
 
-// withFailed gives a job up.
+// withFailed removes a job and adds its failure and its results to the changes.
 func (c Collector) withFailed(j jobState, reason PartFailure, changes JobChanges) (Collector, JobChanges) {
 	c, toFree := c.WithoutJob(j.ID)
 	changes.ToFree = append(changes.ToFree, toFree...)
@@ -171,7 +177,7 @@
 	return c, changes
 }
 
-// callCompletion is one pass over the parts of a call that ended.
+// callCompletion applies the outcomes of the parts of one call.
 type callCompletion struct {
 	collector   Collector
 	call        Call
@@ -181,7 +187,7 @@
 	changes     JobChanges
 }
 
-// applyOutcome takes in the end of one part.
+// applyOutcome applies the outcome of one part.
 func (e *callCompletion) applyOutcome(p Part, outcome PartOutcome, refused bool) {
 	switch outcome.Failure {
 	case "":
@@ -195,7 +201,7 @@
 	}
 }
 
-// storeResult files a part's result, or frees it if its job is gone.
+// storeResult records a part's result, or frees it if its job is gone.
 func (e *callCompletion) storeResult(p Part, ref string) {
 	j, ok := e.collector.jobs.Get(p.Job)
 	if !ok {
@@ -214,12 +220,13 @@
 	}
 }
 
-// requeuePart queues a part once more that its upstream had no room for.
+// requeuePart queues a part again that its upstream had no memory for. It does not
+// count as a failure.
 //
-// After all nodes were killed the room is full of what nobody frees, for seconds.
-// Counted as failures, such parts used up their jobs' tries within milliseconds, and
-// requests with seconds left were refused. How often they are sent is bounded by the
-// room that is believed to come free.
+// After all nodes were killed, results that no node frees fill the memory for seconds.
+// When such parts counted as failures, jobs reached their failure limit within
+// milliseconds, and requests with seconds left were refused. The estimate of free
+// memory bounds how often the parts are sent.
 func (e *callCompletion) requeuePart(p Part) {
 	e.collector = e.collector.withoutReservation(e.call.Upstream, p)
 	if j, ok := e.collector.jobs.Get(p.Job); ok {
@@ -228,7 +235,8 @@
 	}
 }
 
-// retryPart queues a part once more; a refused call costs no try.
+// retryPart queues a failed part again, or fails its job if a limit is reached. A
+// refused call does not count as a failure.
 func (e *callCompletion) retryPart(p Part, reason PartFailure, refused bool) {
 	e.collector = e.collector.withoutReservation(e.call.Upstream, p)
 	j, ok := e.collector.jobs.Get(p.Job)
@@ -253,7 +261,7 @@
 	e.collector = e.collector.withJobState(j)
 }
 
-// failJob gives up the part's job.
+// failJob fails the job of a part.
 func (e *callCompletion) failJob(p Part, reason PartFailure) {
 	e.collector = e.collector.withoutReservation(e.call.Upstream, p)
 	j, ok := e.collector.jobs.Get(p.Job)
@@ -263,7 +271,8 @@
 	e.collector, e.changes = e.collector.withFailed(j, reason, e.changes)
 }
 
-// withResultStored turns the room reserved for a part into room held until its time is over.
+// withResultStored turns the memory reserved for a part into memory that its result
+// takes until it expires.
 func (c Collector) withResultStored(call Call, p Part, ref string, now time.Time) Collector {
 	memory, _ := c.memories.Get(call.Upstream)
 	allocations := slices.Clone(memory.allocations)
@@ -278,7 +287,7 @@
 	return c
 }
 
-// withoutReservation gives back the room reserved for a part.
+// withoutReservation releases the memory reserved for a part.
 func (c Collector) withoutReservation(upstream string, p Part) Collector {
 	memory, _ := c.memories.Get(upstream)
 	c.memories = c.memories.Set(upstream, memory.without(func(h allocation) bool { return h.part == p && h.ref == "" }))
--- a/internal/chutebatch/queue.go
+++ b/internal/chutebatch/queue.go
@@ -13,13 +13,13 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// Lane is a queue of its own: a pool's upstreams, or those of one shard.
+// Lane identifies one queue: that of a pool, or of one shard of a pool.
 type Lane struct {
 	Pool  string
 	Shard string
 }
 
-// laneHasher hashes lanes for the library's map.
+// laneHasher hashes and compares lanes for immutable.Map.
 type laneHasher struct{}
 
 func (laneHasher) Hash(l Lane) uint32 {
@@ -45,15 +45,16 @@
 	return Lane{Pool: j.Pool, Shard: j.Shard}
 }
 
-// queueKey is where a job stands in its queue.
+// queueKey is the position of a job in its queue.
 type queueKey struct {
 	level    int
 	priority int
-	dueBy    int64
-	id       uint64
+	// dueBy is when the stage must end, in Unix nanoseconds.
+	dueBy int64
+	id    uint64
 }
 
-// queueKeyComparer orders places for the library's map.
+// queueKeyComparer orders keys for immutable.SortedMap.
 type queueKeyComparer struct{}
 
 func (queueKeyComparer) Compare(a, b queueKey) int {
@@ -67,28 +68,31 @@
 	return queueKeyComparer{}.Compare(p, other) < 0
 }
 
-// queueKey orders jobs within their workspaces' shares before others, then by urgency, and
-// then by when they have to be done for the rest to be on time: a long prompt needs more
-// time after its stages than a short one.
+// queueKey returns the job's position: jobs within their workspaces' shares first, then
+// by priority, then by the time at which the stage must end for the request to be on
+// time. A long prompt needs more time after its stages than a short one.
 //
-// Urgency comes second: a loud workspace's urgent requests, many times its usual, would
-// otherwise take all that the others' less urgent ones have.
+// The level goes before the priority. Otherwise a workspace that sends many times its
+// usual number of urgent requests would take the capacity of all less urgent requests of
+// the others.
 func (j *Job) queueKey() queueKey {
 	return queueKey{level: j.Level, priority: j.Priority, dueBy: j.TargetAt.Add(-j.TimeAfterStage).UnixNano(), id: j.ID}
 }
 
-// queue holds the jobs of one lane that have waiting parts.
+// queue holds the ids of the jobs of one lane that have waiting parts.
 type queue struct {
 	order *immutable.SortedMap[queueKey, uint64]
-	// waitingParts counts the waiting parts, fair the same by workspace.
+	// waitingParts counts the waiting parts, fairQueue the same by workspace.
 	waitingParts int
 	fairQueue    chutefair.Queue
 }
 
-// Level returns how far a job would be beyond its workspace's share of its queue now.
+// Level returns how far a job would exceed its workspace's share of its queue if it were
+// added now; 0 if it would be within the share.
 //
-// One workspace that sends many times its usual fills the queue. Without levels its jobs
-// have the aims, and so the places, of everybody's, and all are late alike.
+// A workspace that sends many times its usual number of requests fills the queue. Without
+// levels its jobs have the same target times as those of the others, and the jobs of all
+// workspaces are late.
 func (c Collector) Level(j Job) int {
 	q, ok := c.queues.Get(j.Lane())
 	if !ok {
@@ -102,7 +106,7 @@
 	return q.fairQueue.Level(j.Workspace, demand.Share(j.Workspace, j.QueuedAt), c.pools[j.Pool].BatchSize)
 }
 
-// withJobState files a job and its place in the queue.
+// withJobState stores a job and updates its queue.
 func (c Collector) withJobState(j jobState) Collector {
 	lane := j.Lane()
 	q, ok := c.queues.Get(lane)
@@ -125,7 +129,7 @@
 	return c
 }
 
-// withoutJobState forgets a job and its place in the queue.
+// withoutJobState removes a job and its queue entry.
 func (c Collector) withoutJobState(j jobState) Collector {
 	j.pending = nil
 	c = c.withJobState(j)
@@ -134,14 +138,14 @@
 	return c
 }
 
-// WaitingParts counts the parts of a lane that wait for a call.
+// WaitingParts returns the number of parts of a lane that wait for a call.
 func (c Collector) WaitingParts(l Lane) int {
 	q, _ := c.queues.Get(l)
 
 	return q.waitingParts
 }
 
-// WaitingLanes lists the lanes in which parts wait.
+// WaitingLanes lists the lanes in which parts wait for a call.
 func (c Collector) WaitingLanes() []Lane {
 	var lanes []Lane
 	for i := c.queues.Iterator(); !i.Done(); {
@@ -153,7 +157,7 @@
 	return lanes
 }
 
-// WaitingJobs returns the jobs that have parts waiting for a call, in the order of their ids.
+// WaitingJobs returns the jobs that have parts waiting for a call, sorted by id.
 func (c Collector) WaitingJobs() []Job {
 	var jobs []Job
 	for i := c.jobs.Iterator(); !i.Done(); {
@@ -166,18 +170,19 @@
 	return jobs
 }
 
-// fullCallEnd is the start by which a job must begin now to make its aim: under load
-// calls are full. Taken for a small one, jobs would be run as timely that end
-// just too late, in the place of others that would have been on time.
+// fullCallEnd returns when a full call that starts now ends, in Unix nanoseconds; a job
+// that is due before that is late. Under load calls are full. If a smaller call were
+// assumed, jobs that end just too late would run as timely ones, in place of others that
+// would have been on time.
 func fullCallEnd(b chuteroute.Batching, now time.Time) int64 {
 	return now.Add(b.FullCall()).UnixNano()
 }
 
-// visitWaiting visits the lane's waiting jobs in their order until visit returns false:
-// those that can still make their aim first, then those that are late anyhow.
+// visitWaiting calls visit for the lane's waiting jobs in queue order until visit returns
+// false: first for those that can still meet their target time, then for the late ones.
 //
-// With the nearest aim first and nothing else, a burst makes each job wait until
-// it is just too late. Those that are late yield to those that are not.
+// With the earliest target first and no other rule, a burst makes every job wait until
+// it is just too late. So late jobs run after those that are not late.
 func (c Collector) visitWaiting(l Lane, now time.Time, visit func(j *jobState) bool) {
 	q, ok := c.queues.Get(l)
 	if !ok {
@@ -189,12 +194,13 @@
 	}
 }
 
-// visitDueBetween visits the jobs whose start lies in [from,to), by level and priority; false means that visit ended it.
+// visitDueBetween calls visit for the jobs that are due in [from,to), by level and
+// priority; it returns false if visit did.
 func (c Collector) visitDueBetween(q queue, from, to int64, visit func(j *jobState) bool) bool {
 	i := q.order.Iterator()
 	for !i.Done() {
 		next, _, _ := i.Next()
-		// Jump to the part of this level and priority, then go on behind it.
+		// Skip to the first job of this level and priority that is due from then on.
 		i.Seek(queueKey{level: next.level, priority: next.priority, dueBy: from})
 		for !i.Done() {
 			key, id, _ := i.Next()
--- a/internal/chutebatch/restart.go
+++ b/internal/chutebatch/restart.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// WithoutUpstream forgets what an upstream whose process has ended had made and held.
-// At most allowed parts are queued again; jobs that wait for lost inputs, and those with
-// lost parts beyond that, fail. Finished jobs stay with whoever asked.
+// WithoutUpstream removes the calls, results and memory of an upstream whose process
+// has ended. At most maxRequeued parts are queued again. Jobs that wait for lost inputs
+// fail, and so do jobs with lost parts beyond maxRequeued. Completed jobs stay
+// unchanged.
 func (c Collector) WithoutUpstream(upstream string, maxRequeued int, now time.Time) (Collector, JobChanges) {
 	var changes JobChanges
 	for _, call := range c.CallsAt(upstream) {
@@ -38,7 +39,7 @@
 	return c, changes
 }
 
-// CallsAt returns the calls in flight at an upstream, in the order of their ids.
+// CallsAt returns the calls in flight at an upstream, sorted by id.
 func (c Collector) CallsAt(upstream string) []Call {
 	var calls []Call
 	for i := c.calls.Iterator(); !i.Done(); {
@@ -51,7 +52,7 @@
 	return calls
 }
 
-// partsStoredAt lists the parts whose results lie at an upstream.
+// partsStoredAt lists the parts whose results are stored at an upstream.
 func (j *jobState) partsStoredAt(upstream string) []int {
 	var parts []int
 	for i, r := range j.results {
@@ -63,7 +64,7 @@
 	return parts
 }
 
-// withResultsLost returns the job with results that are lost waiting to be made again.
+// withResultsLost returns the job with the parts whose results are lost pending again.
 func (j jobState) withResultsLost(lost []int) jobState {
 	j.results = slices.Clone(j.results)
 	for _, i := range lost {
