--- a/internal/chutebatch/load_test.go
+++ b/internal/chutebatch/load_test.go
@@ -9,26 +9,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The load answered here is a burst of one kind of request on a stage's pool, of which
-// an upstream is lost for a while: 4 upstreams, calls of 150 ms and 16 ms a part, 8 parts
-// a call, which is 115 parts a second; 60 a second as usual, twice that and more for six
-// seconds, 86 a second while an upstream is gone. Aims leave half a second for waiting,
-// deadlines many seconds. Callers who are turned away come back once, after 2 s.
+// These tests simulate bursts of one kind of request at the pool of one stage, with
+// upstreams lost for some time. The pool has 4 upstreams; a call takes 150 ms plus 16 ms
+// a part and has 8 parts at most, so the capacity is 115 parts a second, and 86 without
+// one upstream. The usual load is 60 parts a second; a burst is more than twice that for
+// 6 s. Target times leave half a second for waiting, deadlines many seconds. Callers that
+// are refused retry once, after 2 s.
 
 const (
-	loadStep   = 5 * time.Millisecond
-	loadLength = 30 * time.Second
-	loadAim    = 800 * time.Millisecond
-	loadTime   = 8 * time.Second
-	loadBack   = 2 * time.Second
+	loadStep       = 5 * time.Millisecond
+	loadLength     = 30 * time.Second
+	loadTarget     = 800 * time.Millisecond
+	loadDeadline   = 8 * time.Second
+	loadRetryDelay = 2 * time.Second
 )
 
-// loadCase is one load on a pool.
+// loadCase describes one simulated load on the pool.
 type loadCase struct {
 	name string
-	// burst multiplies the load from 5 s to 11 s; gone upstreams are away from 6 s to 10 s.
-	burst float64
-	gone  int
+	// burstFactor multiplies the load from 5 s to 11 s; lostUpstreams is the number of
+	// upstreams that are missing from 6 s to 10 s.
+	burstFactor   float64
+	lostUpstreams int
 }
 
 var loadCases = []loadCase{
@@ -38,163 +40,167 @@
 	{"half of the pool lost", 1, 2},
 }
 
-// loadRequest is one caller's request; its aim and deadline hold for both of its sendings.
+// loadRequest is one caller's request; its retry has the same target time and deadline.
 type loadRequest struct {
-	id       uint64
-	parts    int
-	at       time.Time
-	aimAt    time.Time
-	deadline time.Time
-	came     int
-	// workspace is empty where the load does not tell them apart.
+	id        uint64
+	parts     int
+	arrivesAt time.Time
+	targetAt  time.Time
+	deadline  time.Time
+	attempts  int
+	// workspace is empty if the load has no workspaces.
 	workspace string
 }
 
-// loadPolicy decides who waits for what.
+// loadPolicy decides which requests wait, run or fail.
 type loadPolicy interface {
-	// arrive takes a request in, or turns it away.
-	arrive(r loadRequest, now time.Time, upstreams int) bool
-	// fill starts calls at idle upstreams and returns who is in each, and who is given up.
-	fill(now time.Time, idle []Seat, upstreams int) (calls []loadCall, given []uint64)
-	// ended takes the end of a call and returns whose parts are all done.
-	ended(call loadCall, now time.Time) []uint64
+	// admit queues a request and returns true, or refuses it.
+	admit(r loadRequest, now time.Time, upstreams int) bool
+	// startCalls starts calls at idle upstreams and returns them, with the ids of the
+	// requests that expired.
+	startCalls(now time.Time, idle []Candidate, upstreams int) (calls []loadCall, expired []uint64)
+	// endCall records the end of a call and returns the ids of the requests that are
+	// completed by it.
+	endCall(call loadCall, now time.Time) []uint64
 }
 
+// loadCall is a call in flight at an upstream.
 type loadCall struct {
-	seat  string
-	parts int
-	ends  time.Time
-	call  Call
-	ids   []uint64
+	upstream   string
+	parts      int
+	endsAt     time.Time
+	call       Call
+	requestIDs []uint64
 }
 
-// loadResult counts how requests ended.
+// loadResult counts requests by how they ended.
 type loadResult struct {
-	onTime, late, refused, asked int
+	onTime, late, refused, total int
 }
 
-// worth is what the answers are worth, a late one a seventh of one on time.
-func (r loadResult) worth() float64 {
-	const lateWorth = 0.15
+// meanValue returns the mean value of a request: 1 for an answer on time, 0.15 for a
+// late one, 0 for none.
+func (r loadResult) meanValue() float64 {
+	const lateValue = 0.15
 
-	return (float64(r.onTime) + lateWorth*float64(r.late)) / float64(r.asked)
+	return (float64(r.onTime) + lateValue*float64(r.late)) / float64(r.total)
 }
 
-// served is the share that got an answer at all.
-func (r loadResult) served() float64 {
-	return float64(r.onTime+r.late) / float64(r.asked)
+// servedShare returns the fraction of the requests that got an answer.
+func (r loadResult) servedShare() float64 {
+	return float64(r.onTime+r.late) / float64(r.total)
 }
 
-// arrivals draws the requests of a load.
+// arrivals returns random requests of a load.
 func (l loadCase) arrivals(seed uint64) []loadRequest {
 	random := rand.New(rand.NewPCG(seed, 1)) //nolint:gosec // repeatable load
 	var all []loadRequest
 	for at := time.Duration(0); at < loadLength; {
 		perSecond := 24.0
 		if at > 5*time.Second && at < 11*time.Second {
-			perSecond *= l.burst
+			perSecond *= l.burstFactor
 		}
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		t := start.Add(at)
 		all = append(all, loadRequest{
-			id: uint64(len(all) + 1), parts: 1 + random.IntN(4), at: t, aimAt: t.Add(loadAim), deadline: t.Add(loadTime), came: 1,
+			id: uint64(len(all) + 1), parts: 1 + random.IntN(4), arrivesAt: t, targetAt: t.Add(loadTarget), deadline: t.Add(loadDeadline), attempts: 1,
 		})
 	}
 
 	return all
 }
 
-// upstreams is how many upstreams there are at a moment.
-func (l loadCase) upstreams(now time.Time) int {
+// upstreamCount returns the number of upstreams at a time.
+func (l loadCase) upstreamCount(now time.Time) int {
 	if at := now.Sub(start); at > 6*time.Second && at < 10*time.Second {
-		return 4 - l.gone
+		return 4 - l.lostUpstreams
 	}
 
 	return 4
 }
 
-// loadRun is one load under one policy.
+// loadRun is the simulation of one load under one policy.
 type loadRun struct {
 	loadCase
-	policy  loadPolicy
-	waiting []loadRequest
-	open    map[uint64]loadRequest
-	calls   []loadCall
-	result  loadResult
+	policy     loadPolicy
+	arriving   []loadRequest
+	unanswered map[uint64]loadRequest
+	calls      []loadCall
+	result     loadResult
 	// byWorkspace counts the ends of each workspace's requests.
 	byWorkspace map[string]*loadResult
 }
 
-// run plays a load under a policy.
+// run simulates a load under a policy.
 func (l loadCase) run(p loadPolicy, seed uint64) loadResult {
-	return newLoadRun(l, p, l.arrivals(seed)).play()
+	return newLoadRun(l, p, l.arrivals(seed)).simulate()
 }
 
 func newLoadRun(l loadCase, p loadPolicy, arrivals []loadRequest) *loadRun {
 	r := &loadRun{
-		loadCase: l, policy: p, waiting: arrivals, open: map[uint64]loadRequest{}, byWorkspace: map[string]*loadResult{},
+		loadCase: l, policy: p, arriving: arrivals, unanswered: map[uint64]loadRequest{}, byWorkspace: map[string]*loadResult{},
 	}
-	r.result.asked = len(r.waiting)
+	r.result.total = len(r.arriving)
 	for _, request := range arrivals {
 		if r.byWorkspace[request.workspace] == nil {
 			r.byWorkspace[request.workspace] = &loadResult{}
 		}
-		r.byWorkspace[request.workspace].asked++
+		r.byWorkspace[request.workspace].total++
 	}
 
 	return r
 }
 
-// play runs the load to its end.
-func (r *loadRun) play() loadResult {
-	for now := start; now.Before(start.Add(loadLength + loadTime)); now = now.Add(loadStep) {
-		r.arrive(now)
-		r.fill(now, r.endCalls(now))
+// simulate runs the load to its end and returns the counts.
+func (r *loadRun) simulate() loadResult {
+	for now := start; now.Before(start.Add(loadLength + loadDeadline)); now = now.Add(loadStep) {
+		r.admitArrivals(now)
+		r.startCalls(now, r.endCalls(now))
 	}
-	r.result.refused = r.result.asked - r.result.onTime - r.result.late
+	r.result.refused = r.result.total - r.result.onTime - r.result.late
 
 	return r.result
 }
 
-// arrive offers the policy those who come now.
-func (r *loadRun) arrive(now time.Time) {
-	for len(r.waiting) > 0 && !r.waiting[0].at.After(now) {
-		next := r.waiting[0]
-		r.waiting = r.waiting[1:]
-		r.open[next.id] = next
-		if !r.policy.arrive(next, now, r.upstreams(now)) {
-			r.turnAway(next.id, now)
+// admitArrivals passes the requests that have arrived by now to the policy.
+func (r *loadRun) admitArrivals(now time.Time) {
+	for len(r.arriving) > 0 && !r.arriving[0].arrivesAt.After(now) {
+		next := r.arriving[0]
+		r.arriving = r.arriving[1:]
+		r.unanswered[next.id] = next
+		if !r.policy.admit(next, now, r.upstreamCount(now)) {
+			r.refuse(next.id, now)
 		}
 	}
 }
 
-// turnAway sends a caller off, who comes back once.
-func (r *loadRun) turnAway(id uint64, now time.Time) {
-	request, ok := r.open[id]
-	delete(r.open, id)
-	if !ok || request.came > 1 || !now.Add(loadBack).Before(request.deadline) {
+// refuse refuses a request, whose caller retries once if its deadline allows it.
+func (r *loadRun) refuse(id uint64, now time.Time) {
+	request, ok := r.unanswered[id]
+	delete(r.unanswered, id)
+	if !ok || request.attempts > 1 || !now.Add(loadRetryDelay).Before(request.deadline) {
 		return
 	}
-	request.came++
-	request.at = now.Add(loadBack)
-	r.waiting = append(r.waiting, request)
-	slices.SortStableFunc(r.waiting, func(a, b loadRequest) int { return a.at.Compare(b.at) })
+	request.attempts++
+	request.arrivesAt = now.Add(loadRetryDelay)
+	r.arriving = append(r.arriving, request)
+	slices.SortStableFunc(r.arriving, func(a, b loadRequest) int { return a.arrivesAt.Compare(b.arrivesAt) })
 }
 
-// endCalls takes the calls that have ended, and returns the upstreams that are busy.
+// endCalls ends the calls that are over, and returns the upstreams that are busy.
 func (r *loadRun) endCalls(now time.Time) map[string]bool {
 	busy := map[string]bool{}
 	r.calls = slices.DeleteFunc(r.calls, func(c loadCall) bool {
-		if c.ends.After(now) {
-			busy[c.seat] = true
+		if c.endsAt.After(now) {
+			busy[c.upstream] = true
 
 			return false
 		}
-		for _, id := range r.policy.ended(c, now) {
-			if request, ok := r.open[id]; ok {
-				r.result.end(request, now)
-				r.byWorkspace[request.workspace].end(request, now)
-				delete(r.open, id)
+		for _, id := range r.policy.endCall(c, now) {
+			if request, ok := r.unanswered[id]; ok {
+				r.result.countAnswer(request, now)
+				r.byWorkspace[request.workspace].countAnswer(request, now)
+				delete(r.unanswered, id)
 			}
 		}
 
@@ -204,38 +210,38 @@
 	return busy
 }
 
-// fill starts calls at the upstreams that are idle.
-func (r *loadRun) fill(now time.Time, busy map[string]bool) {
-	n := r.upstreams(now)
-	idle := slices.DeleteFunc(seats(n), func(s Seat) bool { return busy[s.Upstream] })
-	started, given := r.policy.fill(now, idle, n)
+// startCalls starts calls at the upstreams that are idle.
+func (r *loadRun) startCalls(now time.Time, busy map[string]bool) {
+	n := r.upstreamCount(now)
+	idle := slices.DeleteFunc(testCandidates(n), func(s Candidate) bool { return busy[s.Upstream] })
+	started, expired := r.policy.startCalls(now, idle, n)
 	r.calls = append(r.calls, started...)
-	for _, id := range given {
-		r.turnAway(id, now)
+	for _, id := range expired {
+		r.refuse(id, now)
 	}
 }
 
-// end counts an answer.
-func (r *loadResult) end(request loadRequest, now time.Time) {
+// countAnswer counts an answer that is given now.
+func (r *loadResult) countAnswer(request loadRequest, now time.Time) {
 	switch {
-	case !now.After(request.aimAt):
+	case !now.After(request.targetAt):
 		r.onTime++
 	case !now.After(request.deadline):
 		r.late++
 	}
 }
 
-// collectorPolicy is the collector itself.
+// collectorPolicy is the policy of the Collector.
 type collectorPolicy struct {
 	c Collector
 }
 
-func (p *collectorPolicy) arrive(r loadRequest, now time.Time, upstreams int) bool {
+func (p *collectorPolicy) admit(r loadRequest, now time.Time, upstreams int) bool {
 	j := Job{
-		ID: r.id, Pool: "p", Parts: r.parts, ResultBytes: 10, AimAt: r.aimAt, Deadline: r.deadline, Since: now,
+		ID: r.id, Pool: "p", Parts: r.parts, ResultBytes: 10, TargetAt: r.targetAt, Deadline: r.deadline, QueuedAt: now,
 		Workspace: r.workspace,
 	}
-	if !p.c.Admits(j, p.c.Wait(j, seats(upstreams), now), now) {
+	if !p.c.Admits(j, p.c.EstimateWait(j, testCandidates(upstreams), now), now) {
 		return false
 	}
 	p.c = p.c.WithJob(j)
@@ -243,150 +249,153 @@
 	return true
 }
 
-func (p *collectorPolicy) fill(now time.Time, _ []Seat, upstreams int) ([]loadCall, []uint64) {
-	var expired Ended
-	p.c, expired = p.c.Expire(now)
-	var given []uint64
-	for _, f := range expired.Failed {
-		given = append(given, f.Job.ID)
+func (p *collectorPolicy) startCalls(now time.Time, _ []Candidate, upstreams int) ([]loadCall, []uint64) {
+	var changes JobChanges
+	p.c, changes = p.c.Expire(now)
+	var expired []uint64
+	for _, f := range changes.Failed {
+		expired = append(expired, f.Job.ID)
 	}
 	var filled []Call
-	p.c, filled = p.c.Fill(lane, seats(upstreams), now)
+	p.c, filled = p.c.FillSlots(lane, testCandidates(upstreams), now)
 	var calls []loadCall
 	for _, call := range filled {
 		calls = append(calls, loadCall{
-			seat: call.Upstream, call: call, ends: now.Add(callTime + time.Duration(len(call.Parts))*partTime),
+			upstream: call.Upstream, call: call, endsAt: now.Add(callTime + time.Duration(len(call.Parts))*partTime),
 		})
 	}
 
-	return calls, given
+	return calls, expired
 }
 
-func (p *collectorPolicy) ended(call loadCall, now time.Time) []uint64 {
-	var ended Ended
-	p.c, ended = answered(p.c, call.call, now)
-	for _, id := range ended.Made {
+func (p *collectorPolicy) endCall(call loadCall, now time.Time) []uint64 {
+	var changes JobChanges
+	p.c, changes = endAnswered(p.c, call.call, now)
+	for _, id := range changes.Completed {
 		p.c, _ = p.c.WithoutJob(id)
 	}
 
-	return ended.Made
+	return changes.Completed
 }
 
-// queuePolicy is first come, first served.
+// queuePolicy serves requests in the order of arrival.
 type queuePolicy struct {
-	jobs []loadRequest
-	// refuses turns away who would be late; forever runs also what nobody waits for.
-	refuses bool
-	forever bool
+	requests []loadRequest
+	// refusesLate refuses requests that would be late; neverExpires also runs requests
+	// whose deadline has passed.
+	refusesLate  bool
+	neverExpires bool
 }
 
-func (p *queuePolicy) arrive(r loadRequest, now time.Time, upstreams int) bool {
-	ahead := 0
-	for _, j := range p.jobs {
-		ahead += j.parts
+func (p *queuePolicy) admit(r loadRequest, now time.Time, upstreams int) bool {
+	partsAhead := 0
+	for _, j := range p.requests {
+		partsAhead += j.parts
 	}
-	wait := time.Duration(float64(ahead) / float64(8*max(1, upstreams)) * float64(fullCall))
-	if p.refuses && now.Add(wait+fullCall).After(r.aimAt) && ahead > 0 {
+	wait := time.Duration(float64(partsAhead) / float64(8*max(1, upstreams)) * float64(fullCall))
+	if p.refusesLate && now.Add(wait+fullCall).After(r.targetAt) && partsAhead > 0 {
 		return false
 	}
-	p.jobs = append(p.jobs, r)
+	p.requests = append(p.requests, r)
 
 	return true
 }
 
-func (p *queuePolicy) fill(now time.Time, idle []Seat, _ int) ([]loadCall, []uint64) {
-	var given []uint64
-	if !p.forever {
-		p.jobs = slices.DeleteFunc(p.jobs, func(r loadRequest) bool {
-			gone := !now.Before(r.deadline)
-			if gone {
-				given = append(given, r.id)
+func (p *queuePolicy) startCalls(now time.Time, idle []Candidate, _ int) ([]loadCall, []uint64) {
+	var expired []uint64
+	if !p.neverExpires {
+		p.requests = slices.DeleteFunc(p.requests, func(r loadRequest) bool {
+			isExpired := !now.Before(r.deadline)
+			if isExpired {
+				expired = append(expired, r.id)
 			}
 
-			return gone
+			return isExpired
 		})
 	}
 	var calls []loadCall
 	for _, s := range idle {
-		call := loadCall{seat: s.Upstream}
-		for len(p.jobs) > 0 && (call.parts == 0 || call.parts+p.jobs[0].parts <= 8) {
-			call.parts += p.jobs[0].parts
-			call.ids = append(call.ids, p.jobs[0].id)
-			p.jobs = p.jobs[1:]
+		call := loadCall{upstream: s.Upstream}
+		for len(p.requests) > 0 && (call.parts == 0 || call.parts+p.requests[0].parts <= 8) {
+			call.parts += p.requests[0].parts
+			call.requestIDs = append(call.requestIDs, p.requests[0].id)
+			p.requests = p.requests[1:]
 		}
 		if call.parts == 0 {
 			break
 		}
-		call.ends = now.Add(callTime + time.Duration(call.parts)*partTime)
+		call.endsAt = now.Add(callTime + time.Duration(call.parts)*partTime)
 		calls = append(calls, call)
 	}
 
-	return calls, given
+	return calls, expired
 }
 
-func (p *queuePolicy) ended(call loadCall, _ time.Time) []uint64 {
-	return call.ids
+func (p *queuePolicy) endCall(call loadCall, _ time.Time) []uint64 {
+	return call.requestIDs
 }
 
-// loadPolicies are the collector and what it is compared with.
+// loadPolicies returns the collector's policy ("ours") and those it is compared with.
 func loadPolicies() map[string]func() loadPolicy {
 	return map[string]func() loadPolicy{
-		"ours":           func() loadPolicy { return &collectorPolicy{c: pool(0)} },
+		"ours":           func() loadPolicy { return &collectorPolicy{c: newCollector(0)} },
 		"first come":     func() loadPolicy { return &queuePolicy{} },
-		"refuse at once": func() loadPolicy { return &queuePolicy{refuses: true} },
-		"queue for ever": func() loadPolicy { return &queuePolicy{forever: true} },
+		"refuse at once": func() loadPolicy { return &queuePolicy{refusesLate: true} },
+		"queue for ever": func() loadPolicy { return &queuePolicy{neverExpires: true} },
 	}
 }
 
 const (
-	// checkedSeeds and measuredSeeds are how many draws of a load the tests and the
-	// benchmark play.
-	checkedSeeds  = 1
-	measuredSeeds = 4
+	// testSeeds and benchmarkSeeds are the numbers of random loads that the tests and
+	// the benchmark simulate for each case.
+	testSeeds      = 1
+	benchmarkSeeds = 4
 )
 
-// played sums a load over some seeds.
-func (l loadCase) played(policy func() loadPolicy, seeds uint64) loadResult {
+// sumOverSeeds simulates a load with some seeds and returns the sums.
+func (l loadCase) sumOverSeeds(policy func() loadPolicy, seeds uint64) loadResult {
 	var sum loadResult
 	for seed := range seeds {
 		r := l.run(policy(), seed+1)
 		sum.onTime += r.onTime
 		sum.late += r.late
 		sum.refused += r.refused
-		sum.asked += r.asked
+		sum.total += r.total
 	}
 
 	return sum
 }
 
 func TestLoad(t *testing.T) {
-	t.Run("under bursts the answers are worth no less than under simpler policies", func(t *testing.T) {
-		// A burst fills the pool for seconds. Served in order, each caller waits until
-		// it is just too late; turned away at once, callers return to the same queue.
+	t.Run("under bursts the mean value of answers is no lower than with simpler policies", func(t *testing.T) {
+		// A burst fills the pool for seconds. Served in order of arrival, each request
+		// waits until it is just too late; refused at once, callers retry and meet the
+		// same queue.
 		c := qt.New(t)
 		for _, l := range loadCases {
-			ours := l.played(loadPolicies()["ours"], checkedSeeds)
+			ours := l.sumOverSeeds(loadPolicies()["ours"], testSeeds)
 			for name, policy := range loadPolicies() {
-				other := l.played(policy, checkedSeeds)
-				c.Check(ours.worth() >= other.worth()-0.005, qt.IsTrue,
-					qt.Commentf("%s: %s has %.3f, ours %.3f", l.name, name, other.worth(), ours.worth()))
+				other := l.sumOverSeeds(policy, testSeeds)
+				c.Check(ours.meanValue() >= other.meanValue()-0.005, qt.IsTrue,
+					qt.Commentf("%s: %s has %.3f, ours %.3f", l.name, name, other.meanValue(), ours.meanValue()))
 			}
 		}
 	})
 
-	t.Run("a burst that is over before the deadlines leaves fewer without an answer", func(t *testing.T) {
-		// Refused at their aims, callers would meet the same queue again and be refused
-		// for good, while their deadlines are seconds off and the queue is soon gone.
+	t.Run("in a burst shorter than the deadlines more requests are answered than with refusal at the target time", func(t *testing.T) {
+		// If requests were refused when they miss their target time, the retries would
+		// meet the same queue and be refused for good, although the queue empties seconds
+		// before the deadlines.
 		c := qt.New(t)
 		for _, l := range loadCases {
-			ours, refusing := l.played(loadPolicies()["ours"], checkedSeeds), l.played(loadPolicies()["refuse at once"], checkedSeeds)
-			c.Check(ours.served() >= refusing.served(), qt.IsTrue,
-				qt.Commentf("%s: %.4f against %.4f", l.name, ours.served(), refusing.served()))
+			ours, refusing := l.sumOverSeeds(loadPolicies()["ours"], testSeeds), l.sumOverSeeds(loadPolicies()["refuse at once"], testSeeds)
+			c.Check(ours.servedShare() >= refusing.servedShare(), qt.IsTrue,
+				qt.Commentf("%s: %.4f against %.4f", l.name, ours.servedShare(), refusing.servedShare()))
 		}
 	})
 }
 
-// BenchmarkLoad prints how requests end under each load and policy.
+// BenchmarkLoad reports how requests end under each load and policy.
 func BenchmarkLoad(b *testing.B) {
 	for _, l := range loadCases {
 		policies := loadPolicies()
@@ -399,9 +408,9 @@
 			b.Run(l.name+"/"+name, func(b *testing.B) {
 				var r loadResult
 				for b.Loop() {
-					r = l.played(policies[name], measuredSeeds)
+					r = l.sumOverSeeds(policies[name], benchmarkSeeds)
 				}
-				of := float64(r.asked) / 100
+				of := float64(r.total) / 100
 				b.ReportMetric(float64(r.onTime)/of, "%on-time")
 				b.ReportMetric(float64(r.late)/of, "%late")
 				b.ReportMetric(float64(r.refused)/of, "%refused")
--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -157,7 +157,7 @@
 		}
 		queueTime := st.queueTime(r, i)
 		workTime := st.stageTime(r, i) + st.remainingTime(r, i)
-		if queueTime > maxToleratedWait && st.now.Add(queueTime+workTime).After(chutebatch.WorthEnding(r.aimAt, r.answerBy())) {
+		if queueTime > maxToleratedWait && st.now.Add(queueTime+workTime).After(chutebatch.AdmissionDeadline(r.aimAt, r.answerBy())) {
 			return queueTime, true
 		}
 	}
@@ -178,8 +178,8 @@
 // Otherwise the queue of a request's second stage shows only after the first stage has run for
 // nothing and the caller has waited for that.
 func (st *reduction) waitsAhead(job chutebatch.Job) time.Duration {
-	wait := st.collector.Wait(job, st.laneSeats(job.Lane()), st.now)
-	for _, pool := range job.Then {
+	wait := st.collector.EstimateWait(job, st.laneSeats(job.Lane()), st.now)
+	for _, pool := range job.FollowingPools {
 		laterJob := job
 		laterJob.Pool = pool
 		laterJob.Shard = st.shard(laterJob)
@@ -199,14 +199,14 @@
 	lane := sample.Lane()
 	level := st.collector.Level(sample)
 	// A new job like the sample has its whole time left.
-	sample.AimAt = st.now.Add(sample.AimAt.Sub(sample.Since))
+	sample.TargetAt = st.now.Add(sample.TargetAt.Sub(sample.QueuedAt))
 	sample.ID = math.MaxUint64
-	late := st.collector.Late(sample, st.now)
+	late := st.collector.IsLate(sample, st.now)
 	key := queueKey{lane: lane, priority: sample.Priority, shareLevel: level}
 	if heard, ok := st.localWaits.Get(key); ok && !late && st.now.Sub(heard.at) < localWaitTTL {
 		return heard.wait, level > 0
 	}
-	wait = st.collector.Wait(sample, st.laneSeats(lane), st.now)
+	wait = st.collector.EstimateWait(sample, st.laneSeats(lane), st.now)
 	if !late {
 		st.localWaits = st.localWaits.Set(key, waitReport{wait: wait, at: st.now})
 	}
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -36,7 +36,7 @@
 	st.applyLoads(e.Loads)
 	job := e.Job
 	job.ID = st.newID()
-	job.Since = st.now
+	job.QueuedAt = st.now
 	st.origins = st.origins.Set(job.ID, jobOrigin{token: e.Token})
 	st.tokens = st.tokens.Set(e.Token, job.ID)
 	st.queueJob(job)
@@ -76,7 +76,7 @@
 
 // queueJob adds a job to this node's collector, or rejects it.
 func (st *reduction) queueJob(job chutebatch.Job) {
-	if slices.ContainsFunc(job.InputsAt, st.fleet.HasReplaced) {
+	if slices.ContainsFunc(job.InputUpstreams, st.fleet.HasReplaced) {
 		// The requesting node does not know yet that an upstream has restarted. A call would only
 		// find the inputs gone.
 		st.rejectJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartInputGone})
@@ -88,7 +88,7 @@
 
 		return
 	}
-	job.Alone = len(st.quarantine.Suspected(job.Fingerprint)) > 0
+	job.Isolated = len(st.quarantine.Suspected(job.Fingerprint)) > 0
 	if !st.collector.Admits(job, st.waitsAhead(job), st.now) {
 		st.rejectJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartOverloaded})
 
@@ -110,7 +110,7 @@
 // dropJob removes a job from this node's collector and frees its results.
 func (st *reduction) dropJob(id uint64) {
 	st.origins = st.origins.Delete(id)
-	var frees []chutebatch.Free
+	var frees []chutebatch.FreeRequest
 	st.collector, frees = st.collector.WithoutJob(id)
 	for _, f := range frees {
 		st.freeOnUpstream(f)
@@ -122,18 +122,18 @@
 
 // fillAllLanes fills calls from the waiting parts of all lanes.
 func (st *reduction) fillAllLanes() {
-	for _, lane := range st.collector.Lanes() {
+	for _, lane := range st.collector.WaitingLanes() {
 		st.fillCalls(lane)
 	}
 }
 
 // fillCalls sends calls to free upstreams of a lane as long as parts wait.
 func (st *reduction) fillCalls(lane chutebatch.Lane) {
-	if st.collector.Waiting(lane) == 0 {
+	if st.collector.WaitingParts(lane) == 0 {
 		return
 	}
 	var calls []chutebatch.Call
-	st.collector, calls = st.collector.Fill(lane, st.laneSeats(lane), st.now)
+	st.collector, calls = st.collector.FillSlots(lane, st.laneSeats(lane), st.now)
 	for _, call := range calls {
 		u, ok := st.fleet.Get(call.Upstream)
 		if !ok {
@@ -142,7 +142,7 @@
 		st.fleet = st.fleet.WithSent(u.ID, 0, st.now)
 		st.emit(RunCall{Call: call, Upstream: u, Timeout: st.callTimeout(call)})
 	}
-	if st.tickAt.IsZero() && st.collector.Waiting(lane) > 0 {
+	if st.tickAt.IsZero() && st.collector.WaitingParts(lane) > 0 {
 		st.tickAt = st.now.Add(queueCheckInterval)
 		st.emit(TickAt{At: st.tickAt})
 	}
@@ -152,11 +152,11 @@
 //
 // A shard whose upstreams are all gone or suspended is served by those of other zones, so that a
 // zone without healthy upstreams of a pool does not fail its requests.
-func (st *reduction) laneSeats(lane chutebatch.Lane) []chutebatch.Seat {
-	var all, inShard, reachable []chutebatch.Seat
+func (st *reduction) laneSeats(lane chutebatch.Lane) []chutebatch.Candidate {
+	var all, inShard, reachable []chutebatch.Candidate
 	for _, u := range st.fleet.UsableIn(lane.Pool, st.now) {
 		pace, _ := st.upstreamPaces.Get(u.ID)
-		seat := chutebatch.Seat{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
+		seat := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
 		all = append(all, seat)
 		if st.zoneSilence.cutOff(u.Zone, st.now) {
 			continue
@@ -166,7 +166,7 @@
 			inShard = append(inShard, seat)
 		}
 	}
-	for _, seats := range [][]chutebatch.Seat{inShard, reachable} {
+	for _, seats := range [][]chutebatch.Candidate{inShard, reachable} {
 		if len(seats) > 0 {
 			return seats
 		}
@@ -208,7 +208,7 @@
 	}
 	budgetAccount := st.collectorAccount(call.Pool, st.now)
 	allowedRepeats := st.repeatsLeft(budgetAccount)
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithCallEnded(e.ID, e.End, e.PartEnds, u.Zone, allowedRepeats, st.now)
 	st.countRepeats(budgetAccount.budgetKey, ended.Requeued)
 	st.settleJobs(ended)
@@ -217,11 +217,11 @@
 
 // settleJobs reports jobs that are done or failed to the nodes that requested them, and frees
 // their results.
-func (st *reduction) settleJobs(ended chutebatch.Ended) {
-	for _, f := range ended.Frees {
+func (st *reduction) settleJobs(ended chutebatch.JobChanges) {
+	for _, f := range ended.ToFree {
 		st.freeOnUpstream(f)
 	}
-	for _, id := range ended.Made {
+	for _, id := range ended.Completed {
 		st.returnResults(id)
 	}
 	for _, failed := range ended.Failed {
@@ -231,7 +231,7 @@
 
 // checkQueues gives up jobs that can't be done in time, and fills free slots.
 func (st *reduction) checkQueues() {
-	var expired chutebatch.Ended
+	var expired chutebatch.JobChanges
 	st.collector, expired = st.collector.Expire(st.now)
 	st.settleJobs(expired)
 	st.fillAllLanes()
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -120,8 +120,8 @@
 // CallEnded reports the end of a call with parts.
 type CallEnded struct {
 	ID       uint64
-	End      chutebatch.CallEnd
-	PartEnds []chutebatch.PartEnd
+	End      chutebatch.CallOutcome
+	PartEnds []chutebatch.PartOutcome
 	Took     time.Duration
 	// Failure is empty unless the upstream failed in a way that counts against it.
 	Failure chutefleet.FailureKind
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -78,7 +78,7 @@
 // recordCallCrash records that an upstream ended while it ran a call with parts.
 func (st *reduction) recordCallCrash(u chutefleet.Upstream, call chutebatch.Call, evidence string) {
 	st.recordCrash(u, evidence, callSuspects(call)...)
-	st.collector = st.collector.WithEndedUnder(call)
+	st.collector = st.collector.WithUpstreamEnded(call)
 }
 
 // clearSuspicion clears a request that an upstream has answered: it was not the cause of crashes
@@ -155,7 +155,7 @@
 			st.giveUp(r, refusal)
 		}
 	}
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithoutRequest(j.Fingerprint)
 	st.settleJobs(ended)
 }
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -41,7 +41,7 @@
 	}
 	budgetAccount := st.collectorAccount(u.Pool, st.now)
 	allowedRepeats := st.repeatsLeft(budgetAccount)
-	var ended chutebatch.Ended
+	var ended chutebatch.JobChanges
 	st.collector, ended = st.collector.WithoutUpstream(u.ID, allowedRepeats, st.now)
 	st.countRepeats(budgetAccount.budgetKey, ended.Requeued)
 	st.settleJobs(ended)
--- a/internal/chuterelay/results.go
+++ b/internal/chuterelay/results.go
@@ -110,13 +110,13 @@
 		byUpstream[result.Upstream] = append(byUpstream[result.Upstream], result.Ref)
 	}
 	for _, id := range order {
-		st.freeOnUpstream(chutebatch.Free{Upstream: id, Refs: byUpstream[id]})
+		st.freeOnUpstream(chutebatch.FreeRequest{Upstream: id, Refs: byUpstream[id]})
 	}
 }
 
 // freeOnUpstream tells an upstream which results are not needed any more, unless its zone is
 // evacuated.
-func (st *reduction) freeOnUpstream(f chutebatch.Free) {
+func (st *reduction) freeOnUpstream(f chutebatch.FreeRequest) {
 	if u, ok := st.fleet.Get(f.Upstream); ok && !st.fleet.Evacuated(u.Zone) {
 		st.emit(FreeResults{Upstream: u, Refs: f.Refs})
 	}
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -22,23 +22,23 @@
 	remaining, laterPools := st.longestPath(r, i)
 	job := chutebatch.Job{
 		Request: r.ID, Pool: stage.Pool, Stage: i, Parts: r.parts(i),
-		ResultBytes: stage.ResultBytes, Priority: r.rank(), AimAt: r.aimAt, Deadline: r.answerBy(),
-		Rest: remaining, Then: laterPools, Zone: r.zone, Since: st.now, Workspace: r.Workspace.Name,
+		ResultBytes: stage.ResultBytes, Priority: r.rank(), TargetAt: r.aimAt, Deadline: r.answerBy(),
+		TimeAfterStage: remaining, FollowingPools: laterPools, Zone: r.zone, QueuedAt: st.now, Workspace: r.Workspace.Name,
 		Pipeline: r.Pipeline.Name, Fingerprint: r.Fingerprint,
 	}
 	if len(stage.After) == 0 {
 		job.Key = r.PartKey
 	} else {
 		job.Inputs = r.resultRefs(stage.After)
-		job.InputsAt = r.resultUpstreams(stage.After)
+		job.InputUpstreams = r.resultUpstreams(stage.After)
 		job.Zone = r.inputZone(stage.After, r.zone)
 		job.Deadline = st.inputsExpireAt(r, stage.After)
 	}
 	if r.hasStageResults() {
-		job.AimAt = laterOf(job.AimAt, st.now.Add(remaining+st.dueTime(stage.Pool)))
+		job.TargetAt = laterOf(job.TargetAt, st.now.Add(remaining+st.dueTime(stage.Pool)))
 	}
 	if r.answerBegun {
-		job.Priority, job.AimAt = resumePriority, st.now.Add(resumeAim)
+		job.Priority, job.TargetAt = resumePriority, st.now.Add(resumeAim)
 	}
 	job.Zone = st.placementZone(job.Zone)
 	job.Shard = st.shard(job)
@@ -181,7 +181,7 @@
 	r = r.withStage(a.stage, s)
 	inputsGone := e.Reason == string(chutebatch.PartInputGone) || e.Reason == string(chutebatch.PartLate)
 	isOverloaded := e.Reason == string(chutebatch.PartOverloaded)
-	if e.Reason == string(chutebatch.PartQuarantined) || e.Reason == string(chutebatch.PartEnded) {
+	if e.Reason == string(chutebatch.PartQuarantined) || e.Reason == string(chutebatch.PartUpstreamsEnded) {
 		refusal, quarantined := st.quarantineRefusalFor(r.Fingerprint)
 		if !quarantined {
 			refusal = Refusal{Kind: RefusedNotRun, Reason: "upstreams ended while they ran its stage", RetryAfter: crashRetryAfter}
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -250,5 +250,5 @@
 
 // Idle reports whether no request is in flight and this node's collector holds no job.
 func (s State) Idle() bool {
-	return s.requests.Len() == 0 && s.collector.Len() == 0
+	return s.requests.Len() == 0 && s.collector.JobCount() == 0
 }
