--- a/internal/chuteadmission/queue_test.go
+++ b/internal/chuteadmission/queue_test.go
@@ -12,19 +12,19 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-const call = 100 * time.Millisecond
+const callTime = 100 * time.Millisecond
 
-var start = benchStart
+var testStart = benchStart
 
-func waiter(team, workspace string, n int) Waiter {
+func testWaiter(team, workspace string, n int) Waiter {
 	return Waiter{
 		Key:  chuterequest.Key{Workspace: workspace, RequestID: fmt.Sprint(n)},
 		Team: team, Workspace: workspace, Pool: "p",
-		Deadline: start.Add(5*time.Second + time.Duration(n)*time.Millisecond), Needs: call,
+		Deadline: testStart.Add(5*time.Second + time.Duration(n)*time.Millisecond), RemainingTime: callTime,
 	}
 }
 
-func withWaiters(q Queue, n int, w Waiter) Queue {
+func addWaiters(q Queue, n int, w Waiter) Queue {
 	for i := range n {
 		w.Key.RequestID = fmt.Sprint(i)
 		q = q.WithWaiter(w)
@@ -34,7 +34,7 @@
 }
 
 // served runs n calls one after the other and counts them by workspace.
-func served(q Queue, n int, took func(w Waiter) time.Duration) (Queue, map[string]int) {
+func runCalls(q Queue, n int, took func(w Waiter) time.Duration) (Queue, map[string]int) {
 	counts := map[string]int{}
 	for range n {
 		w, next, ok := q.Next("p")
@@ -48,7 +48,7 @@
 	return q, counts
 }
 
-func usual(Waiter) time.Duration { return call }
+func usualTime(Waiter) time.Duration { return callTime }
 
 // expectOrder fails unless the queue gives out exactly these requests in this order.
 func expectOrder(c *qt.C, q Queue, want ...string) {
@@ -66,60 +66,60 @@
 		// comes, one of the same team. In order of arrival they would wait for
 		// minutes and miss their deadline; they go among the next four.
 		c := qt.New(t)
-		q, _ := served(withWaiters(NewQueue(true), 3000, waiter("t", "huge", 0)), 50, usual)
-		q = q.WithWaiter(waiter("t", "small", 0)).WithWaiter(waiter("other", "lone", 0))
-		_, counts := served(q, 4, usual)
+		q, _ := runCalls(addWaiters(NewQueue(true), 3000, testWaiter("t", "huge", 0)), 50, usualTime)
+		q = q.WithWaiter(testWaiter("t", "small", 0)).WithWaiter(testWaiter("other", "lone", 0))
+		_, counts := runCalls(q, 4, usualTime)
 		c.Assert(counts, qt.DeepEquals, map[string]int{"huge": 2, "small": 1, "lone": 1})
 	})
 	t.Run("by weight of team, then of workspace", func(t *testing.T) {
 		c := qt.New(t)
-		heavy, light, other := waiter("t", "heavy", 0), waiter("t", "light", 0), waiter("u", "other", 0)
+		heavy, light, other := testWaiter("t", "heavy", 0), testWaiter("t", "light", 0), testWaiter("u", "other", 0)
 		heavy.TeamWeight, light.TeamWeight, heavy.WorkspaceWeight = 3, 3, 2
-		q := withWaiters(withWaiters(withWaiters(NewQueue(true), 500, heavy), 500, light), 500, other)
-		_, counts := served(q, 400, usual)
+		q := addWaiters(addWaiters(addWaiters(NewQueue(true), 500, heavy), 500, light), 500, other)
+		_, counts := runCalls(q, 400, usualTime)
 		for name, want := range map[string]int{"heavy": 200, "light": 100, "other": 100} {
 			c.Assert(counts[name] >= want-2 && counts[name] <= want+2, qt.IsTrue, qt.Commentf("%v", counts))
 		}
 	})
 	t.Run("by time used, not by calls", func(t *testing.T) {
 		c := qt.New(t)
-		q := withWaiters(withWaiters(NewQueue(true), 500, waiter("t", "long", 0)), 500, waiter("u", "short", 0))
-		_, counts := served(q, 220, func(w Waiter) time.Duration {
+		q := addWaiters(addWaiters(NewQueue(true), 500, testWaiter("t", "long", 0)), 500, testWaiter("u", "short", 0))
+		_, counts := runCalls(q, 220, func(w Waiter) time.Duration {
 			if w.Workspace == "long" {
-				return 10 * call
+				return 10 * callTime
 			}
 
-			return call
+			return callTime
 		})
 		c.Assert(counts["long"] >= 18 && counts["long"] <= 24, qt.IsTrue, qt.Commentf("%v", counts))
 	})
 	t.Run("idle time earns nothing", func(t *testing.T) {
 		// It has had one call running all the while, so its share is remembered.
 		c := qt.New(t)
-		_, q, _ := NewQueue(true).WithWaiter(waiter("t", "late", 0)).Next("p")
-		q, _ = served(withWaiters(q, 500, waiter("t", "busy", 0)), 200, usual)
-		_, counts := served(withWaiters(q, 100, waiter("t", "late", 0)), 40, usual)
+		_, q, _ := NewQueue(true).WithWaiter(testWaiter("t", "late", 0)).Next("p")
+		q, _ = runCalls(addWaiters(q, 500, testWaiter("t", "busy", 0)), 200, usualTime)
+		_, counts := runCalls(addWaiters(q, 100, testWaiter("t", "late", 0)), 40, usualTime)
 		c.Assert(counts["late"] <= 21, qt.IsTrue, qt.Commentf("%v", counts))
 	})
 	t.Run("workspaces that went away are forgotten", func(t *testing.T) {
-		q := withWaiters(NewQueue(true), 2000, waiter("t", "busy", 0))
+		q := addWaiters(NewQueue(true), 2000, testWaiter("t", "busy", 0))
 		for n := range 500 {
-			q, _ = served(q.WithWaiter(waiter("t", fmt.Sprint("w", n), n)), 2, usual)
+			q, _ = runCalls(q.WithWaiter(testWaiter("t", fmt.Sprint("w", n), n)), 2, usualTime)
 		}
-		qt.Assert(t, q.pool("p").teams.first().body.workspaces.members.size < 10, qt.IsTrue)
+		qt.Assert(t, q.poolQueue("p").teams.nextFlow().content.workspaces.flows.size < 10, qt.IsTrue)
 	})
 	t.Run("earliest deadline inside a workspace, started work first", func(t *testing.T) {
-		begun := waiter("t", "w", 2)
+		begun := testWaiter("t", "w", 2)
 		begun.Started, begun.Key.RequestID = true, "begun"
-		q := NewQueue(true).WithWaiter(waiter("t", "w", 3)).WithWaiter(waiter("t", "w", 2)).WithWaiter(begun)
-		expectOrder(qt.New(t), q.WithWaiter(waiter("t", "w", 1)), "1", "begun", "2", "3")
+		q := NewQueue(true).WithWaiter(testWaiter("t", "w", 3)).WithWaiter(testWaiter("t", "w", 2)).WithWaiter(begun)
+		expectOrder(qt.New(t), q.WithWaiter(testWaiter("t", "w", 1)), "1", "begun", "2", "3")
 	})
 	t.Run("first come, first served when not fair", func(t *testing.T) {
-		q := NewQueue(false).WithWaiter(waiter("t", "a", 3)).WithWaiter(waiter("u", "b", 2)).WithWaiter(waiter("t", "a", 1))
+		q := NewQueue(false).WithWaiter(testWaiter("t", "a", 3)).WithWaiter(testWaiter("u", "b", 2)).WithWaiter(testWaiter("t", "a", 1))
 		expectOrder(qt.New(t), q, "3", "2", "1")
 		expectOrder(qt.New(t), q.WithFair(true).WithFair(false), "3", "2", "1")
 		w, _ := q.Peek("p")
-		qt.Assert(t, w, qt.DeepEquals, waiter("t", "a", 3))
+		qt.Assert(t, w, qt.DeepEquals, testWaiter("t", "a", 3))
 	})
 }
 
@@ -128,24 +128,24 @@
 	// workspace sends now would be done long after its deadline. Letting it in
 	// would cost the earlier stages for nothing. Others have their own share.
 	c := qt.New(t)
-	q, _ := served(withWaiters(NewQueue(true), 1020, waiter("t", "huge", 0)), 10, usual)
+	q, _ := runCalls(addWaiters(NewQueue(true), 1020, testWaiter("t", "huge", 0)), 10, usualTime)
 	for range 10 {
 		_, q, _ = q.Next("p")
 	}
 	c.Assert(q.All(), qt.HasLen, 1)
 	c.Assert([]int{q.All()[0].InFlight, q.All()[0].Teams[0].Waiting}, qt.DeepEquals, []int{10, 1000})
-	late := q.Predict(waiter("t", "huge", 2000), 0, start)
+	late := q.Predict(testWaiter("t", "huge", 2000), 0, testStart)
 	c.Assert(late.CanFinish, qt.IsFalse)
 	c.Assert(late.Wait > 9*time.Second && late.Wait < 11*time.Second, qt.IsTrue, qt.Commentf("%v", late.Wait))
 	c.Assert(late.RetryAfter > 2*time.Second && late.RetryAfter <= late.Wait, qt.IsTrue, qt.Commentf("%v", late.RetryAfter))
-	c.Assert(q.Predict(waiter("t", "small", 0), 0, start).CanFinish, qt.IsTrue)
+	c.Assert(q.Predict(testWaiter("t", "small", 0), 0, testStart).CanFinish, qt.IsTrue)
 
-	long := withWaiters(NewQueue(true).WithTypical("p", time.Minute), 1, waiter("t", "w", 0))
-	c.Assert(long.Predict(waiter("t", "w", 1), 0, start).CanFinish, qt.IsFalse)
+	long := addWaiters(NewQueue(true).WithTypicalTime("p", time.Minute), 1, testWaiter("t", "w", 0))
+	c.Assert(long.Predict(testWaiter("t", "w", 1), 0, testStart).CanFinish, qt.IsFalse)
 
-	hopeless := waiter("t", "small", 0)
-	hopeless.Needs = time.Hour
-	p := q.Predict(hopeless, 2000, start)
+	unfinishable := testWaiter("t", "small", 0)
+	unfinishable.RemainingTime = time.Hour
+	p := q.Predict(unfinishable, 2000, testStart)
 	c.Assert([]any{p.CanFinish, p.Wait, p.RetryAfter}, qt.DeepEquals, []any{false, time.Duration(0), time.Duration(0)})
 }
 
@@ -162,7 +162,7 @@
 			} else if next, ok := b.Take(); ok {
 				b, taken = next, taken+1
 			}
-			if bound := startingTakes + share*float64(successes) + 0.001; float64(taken) > bound {
+			if bound := initialCredits + share*float64(successes) + 0.001; float64(taken) > bound {
 				t.Fatalf("took %d, allowed %f", taken, bound)
 			}
 		}
@@ -170,56 +170,56 @@
 }
 
 // TestAnyHistory compares the queue with a plain slice of waiters under random events.
-func TestAnyHistory(t *testing.T) {
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(rapid.Bool().Draw(t, "fair"))
 		var model, running []Waiter
-		expect := func(holds bool, what string) {
+		check := func(holds bool, what string) {
 			if !holds {
 				t.Fatalf("%s; the model has %v", what, model)
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			n := rapid.IntRange(0, 40).Draw(t, "n")
-			w := waiter(fmt.Sprint("t", n%3), fmt.Sprint("w", n%7), n)
-			is := func(other Waiter) bool { return other.Key == w.Key }
+			w := testWaiter(fmt.Sprint("t", n%3), fmt.Sprint("w", n%7), n)
+			hasSameKey := func(other Waiter) bool { return other.Key == w.Key }
 			before, peeked := q, fmt.Sprint(q.Peek("p"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1:
-				q, model = q.WithWaiter(w), append(slices.DeleteFunc(slices.Clone(model), is), w)
+				q, model = q.WithWaiter(w), append(slices.DeleteFunc(slices.Clone(model), hasSameKey), w)
 			case 2:
-				q, model = q.Without(w.Key), slices.DeleteFunc(slices.Clone(model), is)
+				q, model = q.Without(w.Key), slices.DeleteFunc(slices.Clone(model), hasSameKey)
 			case 3:
 				got, next, ok := q.Next("p")
-				expect(ok == (len(model) > 0), "Next and the model differ")
+				check(ok == (len(model) > 0), "Next and the model differ")
 				w = got
-				expect(!ok || slices.ContainsFunc(model, is), "Next gave what was not there")
-				q, model = next, slices.DeleteFunc(slices.Clone(model), is)
+				check(!ok || slices.ContainsFunc(model, hasSameKey), "Next gave what was not there")
+				q, model = next, slices.DeleteFunc(slices.Clone(model), hasSameKey)
 				if ok {
 					running = append(running, got)
 				}
 			case 4:
 				if len(running) > 0 {
-					q = q.WithDone("p", running[0].Team, running[0].Workspace, time.Duration(n)*call)
+					q = q.WithDone("p", running[0].Team, running[0].Workspace, time.Duration(n)*callTime)
 					running = running[1:]
 				}
 			default:
-				var late []Waiter
-				now := w.Deadline.Add(-call + time.Duration(len(model)%2))
-				late, q = q.Hopeless(now)
-				kept := slices.DeleteFunc(slices.Clone(model), func(w Waiter) bool { return now.Add(w.Needs).After(w.Deadline) })
-				expect(len(late) == len(model)-len(kept), "Hopeless and the model differ")
+				var removed []Waiter
+				now := w.Deadline.Add(-callTime + time.Duration(len(model)%2))
+				removed, q = q.RemoveUnfinishable(now)
+				kept := slices.DeleteFunc(slices.Clone(model), func(w Waiter) bool { return now.Add(w.RemainingTime).After(w.Deadline) })
+				check(len(removed) == len(model)-len(kept), "Hopeless and the model differ")
 				model = kept
 			}
-			expect(q.Len("p") == len(model), "Len and the model differ")
-			expect(fmt.Sprint(before.Peek("p")) == peeked, "an earlier queue changed")
+			check(q.Len("p") == len(model), "Len and the model differ")
+			check(fmt.Sprint(before.Peek("p")) == peeked, "an earlier queue changed")
 		}
 	})
 }
 
 // A call that goes past an empty queue is charged as one that waited: else a
 // workspace that always comes first would owe nothing when others arrive.
-func TestPassedIsChargedLikePicked(t *testing.T) {
+func TestBypassIsChargedLikePicked(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		picked, passed := NewQueue(true), NewQueue(true)
 		n := rapid.IntRange(1, 8).Draw(rt, "n")
@@ -230,7 +230,7 @@
 				Workspace: rapid.SampledFrom([]string{"w", "x"}).Draw(rt, "workspace"),
 			}
 			_, picked, _ = picked.WithWaiter(w).Next("pool")
-			passed = passed.WithPassed(w)
+			passed = passed.WithBypass(w)
 		}
 		for i := range n {
 			w := Waiter{
--- a/internal/chuteadmission/treap.go
+++ b/internal/chuteadmission/treap.go
@@ -53,7 +53,7 @@
 }
 
 // order tells on which side of the node the key belongs; 0 means that it is the node's own.
-func (n *treapNode[V]) order(k treapKey) int {
+func (n *treapNode[V]) compareKey(k treapKey) int {
 	if k.hash != n.hash {
 		return cmp.Compare(k.hash, n.hash)
 	}
@@ -73,10 +73,10 @@
 	return t.root.value, t.root.rank, true
 }
 
-func (t treap[V]) find(key treapKey) *treapNode[V] {
+func (t treap[V]) findNode(key treapKey) *treapNode[V] {
 	n := t.root
 	for n != nil {
-		switch order := n.order(key); {
+		switch order := n.compareKey(key); {
 		case order < 0:
 			n = n.left
 		case order > 0:
@@ -90,7 +90,7 @@
 }
 
 func (t treap[V]) get(key treapKey) (V, bool) {
-	if n := t.find(key); n != nil {
+	if n := t.findNode(key); n != nil {
 		return n.value, true
 	}
 	var none V
@@ -101,11 +101,11 @@
 // with returns the treap with the value, in place of any that has its key.
 func (t treap[V]) with(at rank, value V) treap[V] {
 	key := value.treapKey()
-	known := t.find(key)
-	if known != nil && known.rank == at {
+	existing := t.findNode(key)
+	if existing != nil && existing.rank == at {
 		return treap[V]{root: t.root.replaced(key, value), size: t.size}
 	}
-	if known != nil {
+	if existing != nil {
 		t = t.without(key)
 	}
 
@@ -135,7 +135,7 @@
 
 func (n *treapNode[V]) replaced(key treapKey, value V) *treapNode[V] {
 	next := *n
-	switch order := n.order(key); {
+	switch order := n.compareKey(key); {
 	case order < 0:
 		next.left = n.left.replaced(key, value)
 	case order > 0:
@@ -158,7 +158,7 @@
 		return added
 	}
 	next := *n
-	if n.order(key) < 0 {
+	if n.compareKey(key) < 0 {
 		next.left = n.left.inserted(key, added)
 	} else {
 		next.right = n.right.inserted(key, added)
@@ -173,7 +173,7 @@
 		return nil, nil
 	}
 	next := *n
-	if n.order(key) < 0 {
+	if n.compareKey(key) < 0 {
 		lower, next.left = n.left.split(key)
 
 		return lower, &next
@@ -184,7 +184,7 @@
 }
 
 func (n *treapNode[V]) removed(key treapKey) *treapNode[V] {
-	order := n.order(key)
+	order := n.compareKey(key)
 	if order == 0 {
 		return joined(n.left, n.right)
 	}
--- a/internal/chutecore/arrival.go
+++ b/internal/chutecore/arrival.go
@@ -119,7 +119,7 @@
 		return chuterequest.Outcome{}, false
 	}
 	waiter := st.waiterFor(r)
-	waiter.Needs += st.laterStageWaits(r)
+	waiter.RemainingTime += st.laterStageWaits(r)
 	prediction := st.queue.Predict(waiter, st.freeSlots(r), st.now)
 	if prediction.CanFinish || prediction.Wait == 0 && st.drawProbe() {
 		return chuterequest.Outcome{}, false
@@ -136,7 +136,7 @@
 		Key: queueKey(r), Stage: r.Stage, Pool: r.currentStage().Pool,
 		Team: workspace.Team, Workspace: r.Key.Workspace,
 		TeamWeight: max(1, st.config.Teams[workspace.Team].Weight), WorkspaceWeight: max(1, workspace.Weight),
-		Deadline: r.Deadline, Needs: st.remainingServiceTime(r), Since: st.now, Started: r.HandedOver > 0,
+		Deadline: r.Deadline, RemainingTime: st.remainingServiceTime(r), WaitingSince: st.now, Started: r.HandedOver > 0,
 	}
 }
 
@@ -181,7 +181,7 @@
 		later.Stage = i
 		later.Blocks = nil
 		if st.queue.Len(later.currentStage().Pool) > 0 {
-			total += st.queue.Wait(st.waiterFor(later), st.freeSlots(later))
+			total += st.queue.ExpectedWait(st.waiterFor(later), st.freeSlots(later))
 		}
 	}
 
