--- a/internal/chuteadmission/queue.go
+++ b/internal/chuteadmission/queue.go
@@ -10,21 +10,22 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// Queue is one node's waiting work over all pools; immutable.
+// Queue holds one node's waiters over all pools; immutable.
 type Queue struct {
 	fair    bool
 	lastSeq uint64
-	// items ranks all waiters by their latest start, so that Hopeless costs one comparison when there is none.
+	// items ranks all waiters by their latest start, so that RemoveUnfinishable needs
+	// one comparison if there is nothing to remove.
 	items treap[*item]
 	pools *immutable.Map[string, *poolQueue]
 }
 
-// NewQueue returns an empty queue; not fair means first come, first served.
+// NewQueue returns an empty queue with fair sharing, or one in order of arrival if fair is false.
 func NewQueue(fair bool) Queue {
 	return Queue{fair: fair, pools: immutable.NewMap[string, *poolQueue](nameHasher{})}
 }
 
-// WithWaiter adds a waiter, in place of any that has its key.
+// WithWaiter adds a waiter and replaces any with the same key.
 func (q Queue) WithWaiter(w Waiter) Queue {
 	q = q.Without(w.Key)
 	q.lastSeq++
@@ -34,7 +35,7 @@
 	return q.withPoolQueue(w.Pool, q.poolQueue(w.Pool).withItem(i, q.fair))
 }
 
-// Without takes a waiter out, if it is there, and charges nobody.
+// Without removes the waiter with the key, if there is one, without a charge.
 func (q Queue) Without(key chuterequest.Key) Queue {
 	i, ok := q.items.get(requestKey(key))
 	if !ok {
@@ -46,9 +47,10 @@
 	return q.withPoolQueue(name, q.poolQueue(name).withoutItem(i, q.fair))
 }
 
-// WithFair returns the queue under the other rule, with the same waiters in their order of arrival.
+// WithFair returns the queue with fair sharing on or off, with the same waiters in their order of arrival.
 //
-// Debts are forgotten; the pools' rates stay.
+// A change resets the charges of teams and workspaces; the pools' mean times and
+// calls in flight are kept.
 func (q Queue) WithFair(fair bool) Queue {
 	if q.fair == fair {
 		return q
@@ -69,7 +71,7 @@
 	return next
 }
 
-// WithTypicalTime tells the time that a call of the pool is assumed to take until one has been measured.
+// WithTypicalTime sets the expected time of a call of the pool until the first call is done.
 func (q Queue) WithTypicalTime(pool string, took time.Duration) Queue {
 	p := q.poolQueue(pool)
 	if p.samples > 0 || p.meanTime == float64(took) {
@@ -80,7 +82,7 @@
 	return q.withPoolQueue(pool, p)
 }
 
-// Peek returns the waiter that Next would take.
+// Peek returns the waiter that Next would remove.
 func (q Queue) Peek(pool string) (Waiter, bool) {
 	i := q.poolQueue(pool).nextItem()
 	if i == nil {
@@ -90,10 +92,11 @@
 	return i.waiter, true
 }
 
-// Next takes out the waiter whose turn it is and charges its share with the expected cost.
+// Next removes the next waiter of the pool and charges the expected cost to its
+// workspace and team.
 //
-// Each waiter taken must be followed by one WithDone, with no time at all if it
-// was not handed to an upstream after all.
+// Each waiter removed by Next needs one WithDone, with a time of 0 if the waiter was
+// not dispatched.
 func (q Queue) Next(pool string) (Waiter, Queue, bool) {
 	p := q.poolQueue(pool)
 	i := p.nextItem()
@@ -106,24 +109,27 @@
 	return i.waiter, q.withPoolQueue(pool, p.withPicked(i, q.fair)), true
 }
 
-// WithBypass lets a waiter go at once, past a pool's empty queue: the same as WithWaiter and Next, for less work.
+// WithBypass charges a waiter that bypasses a pool's empty queue. It has the effect
+// of WithWaiter and Next at a lower cost.
 //
-// It must be followed by one WithDone too, and is not meant for a pool in which others wait.
+// It needs one WithDone too, and must not be used for a pool in which others wait.
 func (q Queue) WithBypass(w Waiter) Queue {
 	i := q.newItem(w)
 
 	return q.withPoolQueue(w.Pool, q.poolQueue(w.Pool).withBypass(&i.shareKey))
 }
 
-// WithDone ends one call that Next had let go: its share is charged with the
-// time it took, and a time above zero counts towards the pool's rate.
+// WithDone ends one call of a waiter removed by Next: the time that the call took
+// replaces the expected cost in the charge of its workspace and team, and a time
+// above 0 counts towards the pool's mean time.
 func (q Queue) WithDone(pool, team, workspace string, took time.Duration) Queue {
 	i := q.newItem(Waiter{Team: team, Workspace: workspace})
 
 	return q.withPoolQueue(pool, q.poolQueue(pool).withDone(&i.shareKey, took))
 }
 
-// RemoveUnfinishable takes out the waiters that can no longer finish: now and what they need is past their deadline.
+// RemoveUnfinishable removes and returns the waiters that can no longer finish:
+// their deadline is before now plus their remaining time.
 func (q Queue) RemoveUnfinishable(now time.Time) ([]Waiter, Queue) {
 	var unfinishable []Waiter
 	for {
@@ -136,26 +142,28 @@
 	}
 }
 
-// Len counts the waiters of a pool.
+// Len returns the number of waiters of a pool.
 func (q Queue) Len(pool string) int {
 	return q.poolQueue(pool).waiting
 }
 
-// ExpectedWait is how long a waiter that comes now is expected to wait for its pool, in which free slots are believed free.
+// ExpectedWait returns how long a waiter that is added now is expected to wait for
+// its pool, where free is the estimated number of free slots.
 func (q Queue) ExpectedWait(w Waiter, free int) time.Duration {
 	q.lastSeq++
 
 	return q.poolQueue(w.Pool).expectedWait(q.newItem(w), max(free, 0), q.fair)
 }
 
-// minRetryAfter keeps callers that were turned away from coming back at once.
+// minRetryAfter keeps refused callers from retrying at once.
 const minRetryAfter = 100 * time.Millisecond
 
-// Predict tells whether a waiter that comes now can finish by its deadline.
+// Predict estimates whether a waiter that is added now can finish by its deadline.
 //
-// Only the wait for its own pool is in the prediction: add the Wait for later
-// stages' pools to Needs, or a request is let in to a free first stage and dies
-// in the queue of a saturated later one.
+// The prediction includes only the wait for the waiter's own pool. Add the
+// ExpectedWait of the later stages' pools to RemainingTime; otherwise a request is
+// admitted to a free first stage and misses its deadline in the queue of a
+// saturated later one.
 func (q Queue) Predict(w Waiter, free int, now time.Time) Prediction {
 	wait := q.ExpectedWait(w, free)
 	finish := now.Add(wait + w.RemainingTime)
@@ -165,7 +173,7 @@
 	}
 	prediction.CanFinish = false
 	if wait > 0 {
-		// The wait shrinks by what is served while new work is turned away.
+		// The wait shrinks as calls are served while new work is refused.
 		prediction.RetryAfter = max(min(finish.Sub(w.Deadline), wait), minRetryAfter)
 	}
 
@@ -186,7 +194,8 @@
 	return q
 }
 
-// item files a waiter under the share that it is charged to.
+// newItem returns the item of a waiter, with the workspace and team that it is
+// charged to if sharing is fair.
 func (q Queue) newItem(w Waiter) *item {
 	i := &item{waiter: w, key: requestKey(w.Key), seq: q.lastSeq}
 	if q.fair {
--- a/internal/chuteadmission/queue_test.go
+++ b/internal/chuteadmission/queue_test.go
@@ -33,7 +33,7 @@
 	return q
 }
 
-// served runs n calls one after the other and counts them by workspace.
+// runCalls runs n calls in sequence and counts them by workspace.
 func runCalls(q Queue, n int, took func(w Waiter) time.Duration) (Queue, map[string]int) {
 	counts := map[string]int{}
 	for range n {
@@ -50,7 +50,7 @@
 
 func usualTime(Waiter) time.Duration { return callTime }
 
-// expectOrder fails unless the queue gives out exactly these requests in this order.
+// expectOrder fails unless Next returns exactly these requests in this order.
 func expectOrder(c *qt.C, q Queue, want ...string) {
 	c.Helper()
 	var got []string
@@ -62,9 +62,9 @@
 
 func TestFairShare(t *testing.T) {
 	t.Run("one huge workspace does not starve small ones", func(t *testing.T) {
-		// A workspace has 3,000 calls waiting when one call each of two others
-		// comes, one of the same team. In order of arrival they would wait for
-		// minutes and miss their deadline; they go among the next four.
+		// A workspace has 3,000 calls waiting when one call each of two other
+		// workspaces is added, one of them of the same team. In order of arrival they
+		// would wait for minutes and miss their deadline; here they are among the next 4.
 		c := qt.New(t)
 		q, _ := runCalls(addWaiters(NewQueue(true), 3000, testWaiter("t", "huge", 0)), 50, usualTime)
 		q = q.WithWaiter(testWaiter("t", "small", 0)).WithWaiter(testWaiter("other", "lone", 0))
@@ -93,15 +93,15 @@
 		})
 		c.Assert(counts["long"] >= 18 && counts["long"] <= 24, qt.IsTrue, qt.Commentf("%v", counts))
 	})
-	t.Run("idle time earns nothing", func(t *testing.T) {
-		// It has had one call running all the while, so its share is remembered.
+	t.Run("idle time earns no extra share", func(t *testing.T) {
+		// The workspace has one call running meanwhile, so its flow stays in the scheduler.
 		c := qt.New(t)
 		_, q, _ := NewQueue(true).WithWaiter(testWaiter("t", "late", 0)).Next("p")
 		q, _ = runCalls(addWaiters(q, 500, testWaiter("t", "busy", 0)), 200, usualTime)
 		_, counts := runCalls(addWaiters(q, 100, testWaiter("t", "late", 0)), 40, usualTime)
 		c.Assert(counts["late"] <= 21, qt.IsTrue, qt.Commentf("%v", counts))
 	})
-	t.Run("workspaces that went away are forgotten", func(t *testing.T) {
+	t.Run("idle workspaces are removed", func(t *testing.T) {
 		q := addWaiters(NewQueue(true), 2000, testWaiter("t", "busy", 0))
 		for n := range 500 {
 			q, _ = runCalls(q.WithWaiter(testWaiter("t", fmt.Sprint("w", n), n)), 2, usualTime)
@@ -124,9 +124,9 @@
 }
 
 func TestPredict(t *testing.T) {
-	// Ten calls run and 1,000 of one workspace wait, each taking 100 ms: what that
-	// workspace sends now would be done long after its deadline. Letting it in
-	// would cost the earlier stages for nothing. Others have their own share.
+	// 10 calls run and 1,000 of one workspace wait, 100 ms each. A new call of that
+	// workspace would finish long after its deadline, and admitting it would waste the
+	// cost of the earlier stages. Other workspaces have their own share.
 	c := qt.New(t)
 	q, _ := runCalls(addWaiters(NewQueue(true), 1020, testWaiter("t", "huge", 0)), 10, usualTime)
 	for range 10 {
@@ -169,7 +169,7 @@
 	})
 }
 
-// TestAnyHistory compares the queue with a plain slice of waiters under random events.
+// TestRandomEvents compares the queue with a model, a slice of waiters, under random events.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue(rapid.Bool().Draw(t, "fair"))
@@ -193,7 +193,7 @@
 				got, next, ok := q.Next("p")
 				check(ok == (len(model) > 0), "Next and the model differ")
 				w = got
-				check(!ok || slices.ContainsFunc(model, hasSameKey), "Next gave what was not there")
+				check(!ok || slices.ContainsFunc(model, hasSameKey), "Next returned a waiter that the model does not have")
 				q, model = next, slices.DeleteFunc(slices.Clone(model), hasSameKey)
 				if ok {
 					running = append(running, got)
@@ -208,17 +208,17 @@
 				now := w.Deadline.Add(-callTime + time.Duration(len(model)%2))
 				removed, q = q.RemoveUnfinishable(now)
 				kept := slices.DeleteFunc(slices.Clone(model), func(w Waiter) bool { return now.Add(w.RemainingTime).After(w.Deadline) })
-				check(len(removed) == len(model)-len(kept), "Hopeless and the model differ")
+				check(len(removed) == len(model)-len(kept), "RemoveUnfinishable and the model differ")
 				model = kept
 			}
 			check(q.Len("p") == len(model), "Len and the model differ")
-			check(fmt.Sprint(before.Peek("p")) == peeked, "an earlier queue changed")
+			check(fmt.Sprint(before.Peek("p")) == peeked, "an event changed the queue value before it")
 		}
 	})
 }
 
-// A call that goes past an empty queue is charged as one that waited: else a
-// workspace that always comes first would owe nothing when others arrive.
+// A call that bypasses an empty queue is charged like one that waited. Otherwise a
+// workspace whose calls always bypass the queue would have no charge when others arrive.
 func TestBypassIsChargedLikePicked(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		picked, passed := NewQueue(true), NewQueue(true)
@@ -243,7 +243,7 @@
 			first, rest, _ := picked.Next("pool")
 			second, others, _ := passed.Next("pool")
 			if second.Key != first.Key {
-				rt.Fatalf("picked %v after waiting, %v after passing", first.Key, second.Key)
+				rt.Fatalf("Next returned %v after waiting, %v after bypass", first.Key, second.Key)
 			}
 			picked, passed = rest, others
 		}
--- a/internal/chuteadmission/scheduler.go
+++ b/internal/chuteadmission/scheduler.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// level shares service among its members by start-time fair queueing.
+// scheduler divides service among its flows by start-time fair queueing; immutable.
 //
-// Each member has a virtual start tag. The backlogged member with the lowest tag
-// goes first, and its tag then advances by the cost of the work divided by its
-// weight; so over any span backlogged members get service in proportion to their
-// weights, and one that was idle cannot claim the time it left unused. Immutable.
+// Each flow has a virtual start tag. The backlogged flow with the lowest tag goes
+// first, and its tag then advances by the cost of the call divided by its weight. So
+// over any period backlogged flows get service in proportion to their weights, and
+// a flow that was idle can't claim the time that it left unused.
 type scheduler[B backlogged] struct {
-	// now is the virtual time: the highest start tag picked so far.
+	// virtualTime is the highest start tag picked so far.
 	virtualTime int64
 	flows       treap[*flow[B]]
-	// weight is the sum of the backlogged members' weights.
+	// backloggedWeight is the sum of the backlogged flows' weights.
 	backloggedWeight int64
 	lastSeq          uint64
 }
 
-// body is what a member of a level holds.
+// backlogged is the content of a flow.
 type backlogged interface {
-	// backlog counts the waiters in it.
+	// backlog returns the number of waiters.
 	backlog() int
 }
 
-// member is one team, or one workspace of a team.
+// flow is one team of a pool, or one workspace of a team.
 type flow[B backlogged] struct {
 	key      treapKey
 	seq      uint64
 	weight   int64
 	startTag int64
-	// picked and charged are the number and the estimated cost, in nanoseconds, of the work that is not yet done.
+	// running and runningCost are the number and the estimated cost, in nanoseconds,
+	// of the calls that are picked but not yet done.
 	running     int64
 	runningCost int64
 	content     B
@@ -47,7 +48,8 @@
 	return !f.isBacklogged() && f.running == 0
 }
 
-// rank puts members by tag; those whose work is all running come last, for they have no turn to wait for.
+// rank orders flows by start tag. Flows without waiters but with running calls come
+// last, since they have nothing to pick.
 func (f *flow[B]) rank() rank {
 	if !f.isBacklogged() && f.running > 0 {
 		return rank{nanos: maxNanos, seq: f.seq}
@@ -56,7 +58,7 @@
 	return rank{nanos: f.startTag, seq: f.seq}
 }
 
-// get returns a copy of the member, which is a new one if there was none.
+// flowFor returns a copy of the flow with the key, or a new flow if there is none.
 func (s scheduler[B]) flowFor(key treapKey, weight int) flow[B] {
 	if existing, ok := s.flows.get(key); ok {
 		return *existing
@@ -65,7 +67,7 @@
 	return flow[B]{key: key, weight: int64(max(weight, 1)), startTag: s.virtualTime}
 }
 
-// share is the part of the level's service that the member has while it is backlogged.
+// serviceShare returns the part of the service, 0 to 1, that the flow gets while it is backlogged.
 func (s scheduler[B]) serviceShare(f *flow[B], weight int) float64 {
 	own := int64(max(weight, 1))
 	sum := s.backloggedWeight + own
@@ -76,7 +78,7 @@
 	return float64(own) / float64(sum)
 }
 
-// put replaces the member by its changed copy.
+// withFlow returns the scheduler with the flow replaced by its changed copy.
 func (s scheduler[B]) withFlow(f flow[B]) scheduler[B] {
 	existing, ok := s.flows.get(f.key)
 	if !ok {
@@ -90,23 +92,26 @@
 	if f.isBacklogged() {
 		s.backloggedWeight += f.weight
 	}
-	// A member that becomes backlogged starts at the present, or where its debt ends.
+	// A flow that becomes backlogged starts at the virtual time, or at its own tag if
+	// that is later because it has used more than its share.
 	if f.isBacklogged() && !wasBacklogged {
 		f.startTag = max(f.startTag, s.virtualTime)
 	}
 	if !f.isIdle() || f.startTag > s.virtualTime {
 		s.flows = s.flows.with(f.rank(), &f)
 	} else if ok {
-		// Idle and without debt: a new member would be treated alike.
+		// An idle flow with no excess use is equal to a new flow, so it needs no entry.
 		s.flows = s.flows.without(f.key)
 	}
 
 	return s.withoutLeadingIdle()
 }
 
-// trimmed drops idle members that come before all who wait: their debt is over by the next pick.
+// withoutLeadingIdle removes the idle flows that rank before all backlogged ones:
+// the next pick advances the virtual time past their tags.
 //
-// It keeps the memory to those who wait, run or owe, out of tens of thousands of workspaces.
+// So memory is used only for flows with waiters, with running calls or with excess
+// use, out of tens of thousands of workspaces.
 func (s scheduler[B]) withoutLeadingIdle() scheduler[B] {
 	for {
 		f, _, ok := s.flows.lowest()
@@ -117,7 +122,7 @@
 	}
 }
 
-// first returns the backlogged member whose turn it is.
+// nextFlow returns the backlogged flow with the lowest start tag, or nil if none is backlogged.
 func (s scheduler[B]) nextFlow() *flow[B] {
 	f, _, ok := s.flows.lowest()
 	if !ok || !f.isBacklogged() {
@@ -127,7 +132,8 @@
 	return f
 }
 
-// charge advances the virtual time to the member's turn and bills the estimated cost of its work.
+// charge advances the virtual time to the flow's start tag and charges the flow with
+// the estimated cost of one call. It changes f in place.
 func (s scheduler[B]) charge(f *flow[B], cost int64) scheduler[B] {
 	s.virtualTime = max(s.virtualTime, f.startTag)
 	f.startTag += cost / f.weight
@@ -137,7 +143,7 @@
 	return s
 }
 
-// settle replaces the estimate by what the work really took.
+// settle replaces the estimated cost of one running call by the time it took.
 func (f *flow[B]) settle(took time.Duration) {
 	if f.running == 0 {
 		return
--- a/internal/chuteadmission/treap.go
+++ b/internal/chuteadmission/treap.go
@@ -8,24 +8,25 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// treap is an immutable map that knows its entry of lowest rank: a binary search
-// tree by key and a heap by rank at once.
+// treap is an immutable map with access to its entry of lowest rank: it is both a
+// binary search tree by key and a heap by rank.
 //
-// Keys are ordered by hash, which has nothing to do with rank, so the tree stays
-// balanced as a treap with random priorities does. immutable.Map beside
-// immutable.SortedMap would serve as well; with them BenchmarkNext allocated about
-// four times the bytes per pick at 5,000 waiters.
+// Keys are ordered by hash, which is independent of rank, so the tree stays balanced
+// like a treap with random priorities. An immutable.Map with an
+// immutable.SortedMap would also work; with them BenchmarkNext allocated about four
+// times the bytes per pick at 5,000 waiters.
 type treap[V keyed] struct {
 	root *treapNode[V]
 	size int
 }
 
-// keyed is a value that knows its own key.
+// keyed is a value that returns its own key.
 type keyed interface {
 	treapKey() treapKey
 }
 
-// treapNode is never changed once its treap has been returned; it is kept small, for changes copy many of them.
+// treapNode is immutable once its treap has been returned. It is small, since each
+// change of a treap copies many nodes.
 type treapNode[V keyed] struct {
 	hash  uint64
 	rank  rank
@@ -34,7 +35,7 @@
 	value V
 }
 
-// treapKey is a request's key or a name; the words decide between equal hashes.
+// treapKey is a request's key or a name; the texts are compared if the hashes are equal.
 type treapKey struct {
 	hash      uint64
 	name      string
@@ -46,13 +47,15 @@
 }
 
 func requestKey(key chuterequest.Key) treapKey {
-	// The multiplier keeps a workspace and a request id of equal text from cancelling out.
+	// The multiplier keeps the hashes of a workspace and a request ID of equal text from
+	// cancelling out.
 	hash := xxhash.Sum64String(key.Workspace)*31 + xxhash.Sum64String(key.RequestID)
 
 	return treapKey{hash: hash, name: key.Workspace, requestID: key.RequestID}
 }
 
-// order tells on which side of the node the key belongs; 0 means that it is the node's own.
+// compareKey compares the key with the node's key; it is negative if the key belongs
+// in the left subtree, positive for the right one, and 0 if the keys are equal.
 func (n *treapNode[V]) compareKey(k treapKey) int {
 	if k.hash != n.hash {
 		return cmp.Compare(k.hash, n.hash)
@@ -98,7 +101,7 @@
 	return none, false
 }
 
-// with returns the treap with the value, in place of any that has its key.
+// with returns the treap with the value, which replaces any with the same key.
 func (t treap[V]) with(at rank, value V) treap[V] {
 	key := value.treapKey()
 	existing := t.findNode(key)
@@ -114,12 +117,12 @@
 	return treap[V]{root: t.root.inserted(key, added), size: t.size + 1}
 }
 
-// without returns the treap less the key, which must be there.
+// without returns the treap without the key, which must be present.
 func (t treap[V]) without(key treapKey) treap[V] {
 	return treap[V]{root: t.root.removed(key), size: t.size - 1}
 }
 
-// each visits all values in the order of their keys' hashes.
+// each calls visit for all values in the order of their keys' hashes.
 func (t treap[V]) each(visit func(V)) {
 	t.root.each(visit)
 }
@@ -147,7 +150,8 @@
 	return &next
 }
 
-// inserted puts added, which may still be changed, where the heap order wants it.
+// inserted returns the tree with the node added at the depth that the heap order
+// requires. It may change added in place.
 func (n *treapNode[V]) inserted(key treapKey, added *treapNode[V]) *treapNode[V] {
 	if n == nil {
 		return added
@@ -167,7 +171,7 @@
 	return &next
 }
 
-// split returns the parts with lower and with higher keys.
+// split returns the parts of the tree with lower and with higher keys than the given one.
 func (n *treapNode[V]) split(key treapKey) (lower, higher *treapNode[V]) {
 	if n == nil {
 		return nil, nil
@@ -198,7 +202,7 @@
 	return &next
 }
 
-// joined returns both parts as one; all keys of lower are below those of higher.
+// joined returns both trees as one; all keys of lower must be below those of higher.
 func joined[V keyed](lower, higher *treapNode[V]) *treapNode[V] {
 	switch {
 	case lower == nil:
