--- a/internal/chuteadmission/treap.go
+++ b/internal/chuteadmission/treap.go
@@ -8,24 +8,25 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// treap is an immutable map that knows its entry of lowest rank: a binary search
-// tree by key and a heap by rank at once.
+// treap is an immutable map with access to its entry of lowest rank: it is both a
+// binary search tree by key and a heap by rank.
 //
-// Keys are ordered by hash, which has nothing to do with rank, so the tree stays
-// balanced as a treap with random priorities does. immutable.Map beside
-// immutable.SortedMap would serve as well; with them BenchmarkNext allocated about
-// four times the bytes per pick at 5,000 waiters.
+// Keys are ordered by hash, which is independent of rank, so the tree stays balanced
+// like a treap with random priorities. An immutable.Map with an
+// immutable.SortedMap would also work; with them BenchmarkNext allocated about four
+// times the bytes per pick at 5,000 waiters.
 type treap[V keyed] struct {
 	root *treapNode[V]
 	size int
 }
 
-// keyed is a value that knows its own key.
+// keyed is a value that returns its own key.
 type keyed interface {
 	treapKey() treapKey
 }
 
-// treapNode is never changed once its treap has been returned; it is kept small, for changes copy many of them.
+// treapNode is immutable once its treap has been returned. It is small, since each
+// change of a treap copies many nodes.
 type treapNode[V keyed] struct {
 	hash  uint64
 	rank  rank
@@ -34,7 +35,7 @@
 	value V
 }
 
-// treapKey is a request's key or a name; the words decide between equal hashes.
+// treapKey is a request's key or a name; the texts are compared if the hashes are equal.
 type treapKey struct {
 	hash      uint64
 	name      string
@@ -46,14 +47,16 @@
 }
 
 func requestKey(key chuterequest.Key) treapKey {
-	// The multiplier keeps a workspace and a request id of equal text from cancelling out.
+	// The multiplier keeps the hashes of a workspace and a request ID of equal text from
+	// cancelling out.
 	hash := xxhash.Sum64String(key.Workspace)*31 + xxhash.Sum64String(key.RequestID)
 
 	return treapKey{hash: hash, name: key.Workspace, requestID: key.RequestID}
 }
 
-// order tells on which side of the node the key belongs; 0 means that it is the node's own.
-func (n *treapNode[V]) order(k treapKey) int {
+// compareKey compares the key with the node's key; it is negative if the key belongs
+// in the left subtree, positive for the right one, and 0 if the keys are equal.
+func (n *treapNode[V]) compareKey(k treapKey) int {
 	if k.hash != n.hash {
 		return cmp.Compare(k.hash, n.hash)
 	}
@@ -73,10 +76,10 @@
 	return t.root.value, t.root.rank, true
 }
 
-func (t treap[V]) find(key treapKey) *treapNode[V] {
+func (t treap[V]) findNode(key treapKey) *treapNode[V] {
 	n := t.root
 	for n != nil {
-		switch order := n.order(key); {
+		switch order := n.compareKey(key); {
 		case order < 0:
 			n = n.left
 		case order > 0:
@@ -90,7 +93,7 @@
 }
 
 func (t treap[V]) get(key treapKey) (V, bool) {
-	if n := t.find(key); n != nil {
+	if n := t.findNode(key); n != nil {
 		return n.value, true
 	}
 	var none V
@@ -98,14 +101,14 @@
 	return none, false
 }
 
-// with returns the treap with the value, in place of any that has its key.
+// with returns the treap with the value, which replaces any with the same key.
 func (t treap[V]) with(at rank, value V) treap[V] {
 	key := value.treapKey()
-	known := t.find(key)
-	if known != nil && known.rank == at {
+	existing := t.findNode(key)
+	if existing != nil && existing.rank == at {
 		return treap[V]{root: t.root.replaced(key, value), size: t.size}
 	}
-	if known != nil {
+	if existing != nil {
 		t = t.without(key)
 	}
 
@@ -114,12 +117,12 @@
 	return treap[V]{root: t.root.inserted(key, added), size: t.size + 1}
 }
 
-// without returns the treap less the key, which must be there.
+// without returns the treap without the key, which must be present.
 func (t treap[V]) without(key treapKey) treap[V] {
 	return treap[V]{root: t.root.removed(key), size: t.size - 1}
 }
 
-// each visits all values in the order of their keys' hashes.
+// each calls visit for all values in the order of their keys' hashes.
 func (t treap[V]) each(visit func(V)) {
 	t.root.each(visit)
 }
@@ -135,7 +138,7 @@
 
 func (n *treapNode[V]) replaced(key treapKey, value V) *treapNode[V] {
 	next := *n
-	switch order := n.order(key); {
+	switch order := n.compareKey(key); {
 	case order < 0:
 		next.left = n.left.replaced(key, value)
 	case order > 0:
@@ -147,7 +150,8 @@
 	return &next
 }
 
-// inserted puts added, which may still be changed, where the heap order wants it.
+// inserted returns the tree with the node added at the depth that the heap order
+// requires. It may change added in place.
 func (n *treapNode[V]) inserted(key treapKey, added *treapNode[V]) *treapNode[V] {
 	if n == nil {
 		return added
@@ -158,7 +162,7 @@
 		return added
 	}
 	next := *n
-	if n.order(key) < 0 {
+	if n.compareKey(key) < 0 {
 		next.left = n.left.inserted(key, added)
 	} else {
 		next.right = n.right.inserted(key, added)
@@ -167,13 +171,13 @@
 	return &next
 }
 
-// split returns the parts with lower and with higher keys.
+// split returns the parts of the tree with lower and with higher keys than the given one.
 func (n *treapNode[V]) split(key treapKey) (lower, higher *treapNode[V]) {
 	if n == nil {
 		return nil, nil
 	}
 	next := *n
-	if n.order(key) < 0 {
+	if n.compareKey(key) < 0 {
 		lower, next.left = n.left.split(key)
 
 		return lower, &next
@@ -184,7 +188,7 @@
 }
 
 func (n *treapNode[V]) removed(key treapKey) *treapNode[V] {
-	order := n.order(key)
+	order := n.compareKey(key)
 	if order == 0 {
 		return joined(n.left, n.right)
 	}
@@ -198,7 +202,7 @@
 	return &next
 }
 
-// joined returns both parts as one; all keys of lower are below those of higher.
+// joined returns both trees as one; all keys of lower must be below those of higher.
 func joined[V keyed](lower, higher *treapNode[V]) *treapNode[V] {
 	switch {
 	case lower == nil:
