--- a/internal/chutegate/clock_test.go
+++ b/internal/chutegate/clock_test.go
@@ -13,11 +13,11 @@
 type jumpingClock struct {
 	clockwork.Clock
 
-	jump time.Duration
+	offset time.Duration
 }
 
 func (c *jumpingClock) Now() time.Time {
-	return c.Clock.Now().Add(c.jump)
+	return c.Clock.Now().Add(c.offset)
 }
 
 func TestClockJumps(t *testing.T) {
@@ -28,9 +28,9 @@
 	steady := clockwork.NewFakeClock()
 	clock := &jumpingClock{Clock: steady}
 	n := New(Settings{}, clock, zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
-	for _, jump := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second} {
+	for _, offset := range []time.Duration{time.Hour, -time.Hour, 5 * time.Second} {
 		before := n.Now()
-		clock.jump = jump
+		clock.offset = offset
 		steady.Advance(time.Second)
 		c.Assert(n.Now().Sub(before), qt.Equals, time.Second)
 	}
--- a/internal/chutegate/staleness_sim_test.go
+++ b/internal/chutegate/cluster_sim_test.go
@@ -27,30 +27,30 @@
 
 // simNet connects nodes in memory. A connection between two nodes that are cut off from each
 // other carries nothing any more, and a new one does not come about.
-type simNet struct {
+type simNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*bufconn.Listener
-	cut       func(from, to string) bool
+	isCut     func(from, to string) bool
 }
 
 var errNoListener = errors.New("connection refused")
 
-func (s *simNet) cutOff(from, to string) bool {
+func (s *simNetwork) cutOff(from, to string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	return s.cut != nil && s.cut(from, to)
+	return s.isCut != nil && s.isCut(from, to)
 }
 
 // setCut says from now on which nodes are cut off from each other.
-func (s *simNet) setCut(cut func(from, to string) bool) {
+func (s *simNetwork) setCut(cutOff func(from, to string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.cut = cut
+	s.isCut = cutOff
 }
 
-func (s *simNet) dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
+func (s *simNetwork) dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
 		if s.cutOff(from, to) {
 			<-ctx.Done()
@@ -111,32 +111,32 @@
 }
 
 // lastLines is how many lines of a node's log a failure shows.
-const lastLines = 30
+const shownLogLines = 30
 
 // last returns the last lines.
-func (l *simLog) last() string {
+func (l *simLog) tail() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
-	return strings.Join(l.lines[max(0, len(l.lines)-lastLines):], "")
+	return strings.Join(l.lines[max(0, len(l.lines)-shownLogLines):], "")
 }
 
 // simFleet is nodes on a simulated clock with their store.
-type simFleet struct {
+type simCluster struct {
 	*qt.C
 
-	net   *simNet
-	store *memoryStore
-	nodes map[string]*Node
-	peers []chuterelay.Peer
-	stops map[string]func()
-	logs  map[string]*simLog
+	network *simNetwork
+	store   *memoryStore
+	nodes   map[string]*Node
+	peers   []chuterelay.Peer
+	stops   map[string]func()
+	logs    map[string]*simLog
 }
 
 // newSimFleet starts nodes in zones of one region, all at once; it is called in a bubble of synctest.
-func newSimFleet(t *testing.T, size, zones int) *simFleet {
-	f := &simFleet{
-		C: qt.New(t), net: &simNet{listeners: map[string]*bufconn.Listener{}}, store: newMemoryStore(),
+func newSimCluster(t *testing.T, size, zones int) *simCluster {
+	f := &simCluster{
+		C: qt.New(t), network: &simNetwork{listeners: map[string]*bufconn.Listener{}}, store: newMemoryStore(),
 		nodes: map[string]*Node{}, stops: map[string]func(){}, logs: map[string]*simLog{},
 	}
 	f.store.put("config", "c", "1")
@@ -151,15 +151,15 @@
 	return f
 }
 
-func (f *simFleet) start(self chuterelay.Peer) {
+func (f *simCluster) start(self chuterelay.Peer) {
 	f.logs[self.Name] = &simLog{}
-	n := New(Settings{Self: self, Tables: testTables}, clockwork.NewRealClock(), zerolog.New(f.logs[self.Name]), f.store.seam(self.Name), testDecoders(), Upstreams{Trim: func() {}})
-	n.peers.Dial = f.net.dial(self.Name)
+	n := New(Settings{Self: self, Tables: testTables}, clockwork.NewRealClock(), zerolog.New(f.logs[self.Name]), f.store.storeFor(self.Name), testDecoders(), Upstreams{TrimIdle: func() {}})
+	n.peers.Dial = f.network.dial(self.Name)
 	server := chuteshare.NewServer(n.Handlers())
 	l := bufconn.Listen(1 << 16)
-	f.net.mu.Lock()
-	f.net.listeners[self.Name] = l
-	f.net.mu.Unlock()
+	f.network.mu.Lock()
+	f.network.listeners[self.Name] = l
+	f.network.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -168,16 +168,16 @@
 	n.Start()
 	f.nodes[self.Name] = n
 	f.stops[self.Name] = sync.OnceFunc(func() {
-		f.net.mu.Lock()
-		delete(f.net.listeners, self.Name)
-		f.net.mu.Unlock()
+		f.network.mu.Lock()
+		delete(f.network.listeners, self.Name)
+		f.network.mu.Unlock()
 		server.Stop()
 		n.Stop()
 		<-done
 	})
 }
 
-func (f *simFleet) stop() {
+func (f *simCluster) stop() {
 	for _, stop := range f.stops {
 		stop()
 	}
@@ -187,10 +187,10 @@
 const applyBound = 2 * time.Second
 
 // expectInTime changes the configuration and checks that each of the nodes has it within the bound.
-func (f *simFleet) expectInTime(version uint64, among []chuterelay.Peer) {
+func (f *simCluster) expectAppliedInTime(version uint64, nodes []chuterelay.Peer) {
 	f.store.put("config", "c", fmt.Sprint(version))
 	began := time.Now()
-	for _, p := range among {
+	for _, p := range nodes {
 		for {
 			if cfg, _ := f.nodes[p.Name].Config(); cfg.Version >= version {
 				break
@@ -208,12 +208,12 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(seed, 1))
-				f := newSimFleet(t, 8+4*int(seed%3), 4)
+				f := newSimCluster(t, 8+4*int(seed%3), 4)
 				defer f.stop()
 				time.Sleep(10*time.Second + time.Duration(random.IntN(3000))*time.Millisecond)
-				reach := f.cutSome(random)
+				reachable := f.cutOffReaders(random)
 				time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
-				f.expectInTime(2, reach)
+				f.expectAppliedInTime(2, reachable)
 			})
 		})
 	}
@@ -221,17 +221,17 @@
 
 // cutSome cuts the node that reads for the others off from the store, and some others, and
 // returns those that are left.
-func (f *simFleet) cutSome(random *rand.Rand) []chuterelay.Peer {
-	var left []chuterelay.Peer
+func (f *simCluster) cutOffReaders(random *rand.Rand) []chuterelay.Peer {
+	var reachable []chuterelay.Peer
 	for _, p := range f.peers {
 		_, follows := f.nodes[p.Name].source()
 		if follows && random.IntN(2) == 0 {
-			left = append(left, p)
+			reachable = append(reachable, p)
 
 			continue
 		}
-		f.store.setCut(p.Name, true)
+		f.store.setCutOff(p.Name, true)
 	}
 
-	return left
+	return reachable
 }
--- a/internal/chutegate/events.go
+++ b/internal/chutegate/events.go
@@ -9,53 +9,53 @@
 )
 
 // event is one server-sent event with its bytes as they came.
-type event struct {
+type streamEvent struct {
 	id    int
 	bytes []byte
 }
 
 // eventReader splits a stream of server-sent events.
 type eventReader struct {
-	r     *bufio.Reader
-	limit int
+	stream   *bufio.Reader
+	maxBytes int
 }
 
-func newEventReader(r *bufio.Reader, limit int) *eventReader {
-	return &eventReader{r: r, limit: limit}
+func newEventReader(r *bufio.Reader, maxBytes int) *eventReader {
+	return &eventReader{stream: r, maxBytes: maxBytes}
 }
 
 // errNoEvent is a piece of a stream that is not an event with a number.
-var errNoEvent = errors.New("the stream holds something that is not an event")
+var errMalformedEvent = errors.New("the stream holds something that is not an event")
 
 // next returns the next whole event; io.EOF means that the stream ended after one.
 //
 // An upstream that dies may stop in the middle of an event. What is left then is
 // never passed on, so that a resumed stream goes on at the border of an event.
-func (e *eventReader) next() (event, error) {
-	next := event{id: -1}
+func (e *eventReader) next() (streamEvent, error) {
+	next := streamEvent{id: -1}
 	for {
-		line, err := e.r.ReadSlice('\n')
+		line, err := e.stream.ReadSlice('\n')
 		if err == io.EOF && len(next.bytes)+len(line) > 0 {
-			return event{}, io.ErrUnexpectedEOF
+			return streamEvent{}, io.ErrUnexpectedEOF
 		}
 		if err != nil {
-			return event{}, err
+			return streamEvent{}, err
 		}
-		if len(next.bytes)+len(line) > e.limit {
-			return event{}, errNoEvent
+		if len(next.bytes)+len(line) > e.maxBytes {
+			return streamEvent{}, errMalformedEvent
 		}
 		next.bytes = append(next.bytes, line...)
 		text := bytes.TrimRight(line, "\r\n")
 		if id, ok := bytes.CutPrefix(text, []byte("id:")); ok {
 			if next.id, err = strconv.Atoi(string(bytes.TrimSpace(id))); err != nil {
-				return event{}, errNoEvent
+				return streamEvent{}, errMalformedEvent
 			}
 		}
 		if len(text) > 0 {
 			continue
 		}
 		if next.id < 0 {
-			return event{}, errNoEvent
+			return streamEvent{}, errMalformedEvent
 		}
 
 		return next, nil
--- a/internal/chutegate/fingerprint.go
+++ b/internal/chutegate/fingerprint.go
@@ -16,7 +16,7 @@
 // The caller's own id of a sending is left out, since each sending has another. The
 // workspace is in it, so that no caller can have another workspace's requests refused. A
 // body of 1 MB takes 2 ms on a machine that is busy otherwise (BenchmarkFingerprint).
-func fingerprint(workspace string, in *Incoming) string {
+func requestFingerprint(workspace string, in *IncomingRequest) string {
 	h := sha256.New()
 	for _, field := range []string{workspace, in.Host, in.Method, in.URI} {
 		// The length keeps one field's end from being read as the next one's beginning.
--- a/internal/chutegate/follow.go
+++ b/internal/chutegate/follow.go
@@ -14,26 +14,26 @@
 	// followed were lost, and cutOffSpell the same for the first node of a zone that has
 	// lost another zone's: the zone may be cut off, which lasts seconds, and each try to
 	// follow again leaves it out of date for another second.
-	directSpell = 3 * time.Second
-	cutOffSpell = 8 * time.Second
+	directReadPeriod          = 3 * time.Second
+	crossZoneDirectReadPeriod = 8 * time.Second
 	// lostInRow is the number of nodes of its zone that a node loses one after the other
 	// before it takes the fault to be its own and reads the store itself: one more
 	// costs it up to half a second.
-	lostInRow = 2
+	maxLostInRow = 2
 )
 
 // followEnd says why a node stopped following another.
-type followEnd string
+type stopReason string
 
 const (
 	// followNobody: this node reads the store, there is nobody to follow.
-	followNobody followEnd = "Nobody"
+	stopNoSource stopReason = "Nobody"
 	// followCutOff: the node of another zone that was followed is gone or silent.
-	followCutOff followEnd = "CutOff"
+	stopOtherZoneSourceLost stopReason = "CutOff"
 	// followOther: another node is to be followed by now.
-	followOther followEnd = "Other"
+	stopSourceChanged stopReason = "Other"
 	// followLost: the node that was followed is gone or silent.
-	followLost followEnd = "Lost"
+	stopSourceLost stopReason = "Lost"
 )
 
 // follow takes a table from the node's source until that fails.
@@ -42,43 +42,43 @@
 // reach the store and tell the source. One that stopped to ask, and whose question met a
 // silent store, had keys that were revoked in force for a second longer, and so had all that
 // follow it.
-func (n *Node) follow(ctx context.Context, w *watch, changed func()) followEnd {
+func (n *Node) followSource(ctx context.Context, local *localTable, onChange func()) stopReason {
 	source, ok := n.source()
 	if !ok {
-		return followNobody
+		return stopNoSource
 	}
-	w.follow(source, n.Now())
-	defer w.follow(chuterelay.Peer{}, n.Now())
-	take := func(c chutefeed.Change) {
-		if w.takeFrom(source.Name, c) {
-			changed()
+	local.setSource(source, n.Now())
+	defer local.setSource(chuterelay.Peer{}, n.Now())
+	applyChange := func(c chutefeed.Change) {
+		if local.applyFromNode(source.Name, c) {
+			onChange()
 		}
 	}
-	more := func(word chuteshare.Word) bool {
+	keepFollowing := func(status chuteshare.Word) bool {
 		now := n.Now()
-		if word.Current {
-			w.reached(true, now)
+		if status.Current {
+			local.recordStoreResult(true, now)
 		}
-		if w.hear(word, now) {
-			n.log.Info().Str("Table", w.name).Str("Peer", source.Name).Msg("the node that is followed is out of date")
+		if local.recordSourceStatus(status, now) {
+			n.log.Info().Str("Table", local.name).Str("Peer", source.Name).Msg("the node that is followed is out of date")
 		}
-		if w.unsettled(now) {
-			changed()
+		if local.needsReview(now) {
+			onChange()
 		}
 		chosen, ok := n.source()
 
 		return ok && chosen.Name == source.Name
 	}
-	err := n.peers.FollowTable(ctx, source.Address, w.name, w.snapshot(), w.signs, take, more)
+	err := n.peers.FollowTable(ctx, source.Address, local.name, local.snapshot(), local.keepaliveInterval, applyChange, keepFollowing)
 	if err == nil || ctx.Err() != nil {
-		return followOther
+		return stopSourceChanged
 	}
-	w.setCurrent(false)
-	n.lost.add(source.Name, n.Now())
-	n.log.Info().Str("Table", w.name).Str("Peer", source.Name).AnErr("Cause", err).Msg("the node that was followed is lost")
+	local.setCurrent(false)
+	n.lostSources.add(source.Name, n.Now())
+	n.log.Info().Str("Table", local.name).Str("Peer", source.Name).AnErr("Cause", err).Msg("the node that was followed is lost")
 	if source.Zone != n.settings.Self.Zone {
-		return followCutOff
+		return stopOtherZoneSourceLost
 	}
 
-	return followLost
+	return stopSourceLost
 }
--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -20,9 +20,9 @@
 
 const (
 	// backlog is how many events may wait for the loop before their senders do.
-	backlog = 4096
+	maxQueuedMessages = 4096
 	// trimEvery is how often idle connections are looked over.
-	trimEvery = 2 * time.Second
+	trimInterval = 2 * time.Second
 )
 
 // Settings are what a node knows from its start.
@@ -57,56 +57,56 @@
 	config   atomic.Pointer[chuteroute.Config]
 	nodes    atomic.Pointer[[]chuterelay.Peer]
 	// nodesKnown is closed when the list of nodes was read once.
-	nodesKnown  chan struct{}
-	nodesListed sync.Once
+	nodesLoaded     chan struct{}
+	nodesLoadedOnce sync.Once
 	// known is closed when configuration and upstreams are both known.
-	known     chan struct{}
-	knownOnce sync.Once
+	requiredLoaded     chan struct{}
+	requiredLoadedOnce sync.Once
 	// quarantineKnown is closed when the crashes and judgements were read once.
-	quarantineKnown chan struct{}
-	lost            lostNodes
-	chosen          atomic.Pointer[sourceChoice]
+	quarantineLoaded chan struct{}
+	lostSources      lostNodeSet
+	cachedSource     atomic.Pointer[sourceChoice]
 	// storeFailedAt is when the store last failed this node; nil if it never did.
 	storeFailedAt atomic.Pointer[time.Time]
 	// listed says that the list of upstreams was read once.
-	listed   atomic.Bool
-	draining atomic.Bool
-	handles  atomic.Uint64
+	upstreamsLoaded atomic.Bool
+	draining        atomic.Bool
+	lastHandle      atomic.Uint64
 	// unreadable counts the entries of upstreams that have become unreadable.
-	unreadable atomic.Int64
+	unreadableEntries atomic.Int64
 	// staleRefusals counts the requests that a configuration did not allow which may not be
 	// the newest one.
 	staleRefusals atomic.Int64
 	// evacuated counts the zones that are evacuated.
-	evacuated  atomic.Int64
-	storeCalls storeCalls
+	evacuatedZoneCount atomic.Int64
+	storeCalls         storeCalls
 	// toGossip and toStore are the crashes and judgements that wait to be told to other nodes
 	// and to be written to the store, heard those that were told or heard.
-	toGossip *reportQueue
-	toStore  *reportQueue
-	seen     seenReports
+	gossipQueue  *reportQueue
+	storeQueue   *reportQueue
+	knownReports reportSet
 	// crashes counts the ends of upstreams that this node saw.
-	crashes atomic.Int64
-	watches map[string]*watch
+	upstreamCrashes atomic.Int64
+	localTables     map[string]*localTable
 
-	running    context.Context
-	stop       context.CancelFunc
+	runContext context.Context
+	cancelRun  context.CancelFunc
 	background sync.WaitGroup
 
 	// The loop alone uses what follows.
-	state   chutecore.State
-	entries map[uint64]*entry
-	asks    map[uint64]context.CancelFunc
-	jobs    map[uint64]chan<- chuteshare.Update
+	state               chutecore.State
+	requests            map[uint64]*request
+	partsRequestCancels map[uint64]context.CancelFunc
+	jobUpdates          map[uint64]chan<- chuteshare.Update
 }
 
 // message is one event with what the loop does ahead of it.
 type message struct {
-	at     time.Time
-	event  chuterelay.Event
-	before func()
+	at         time.Time
+	relayEvent chuterelay.Event
+	prepare    func()
 	// ledger is set in place of event for what concerns cost counters.
-	ledger chutecore.Event
+	ledgerEvent chutecore.Event
 }
 
 // New returns a node that does nothing until Start.
@@ -115,18 +115,18 @@
 ) *Node {
 	settings.ConfigWithin = cmp.Or(settings.ConfigWithin, DefaultWithin)
 	settings.LeaveWithin = cmp.Or(settings.LeaveWithin, DefaultWithin)
-	running, stop := context.WithCancel(context.Background())
+	runContext, cancelRun := context.WithCancel(context.Background())
 	n := &Node{
 		settings: settings, clock: clock, started: clock.Now(),
 		log:   log.With().Str("Node", settings.Self.Name).Str("Zone", settings.Self.Zone).Logger(),
 		store: store, decode: decode, upstreams: upstreams, peers: chuteshare.NewClient(), meter: chutemeter.New(),
-		messages: make(chan message, backlog), queries: make(chan func(chutecore.State)),
-		running: running, stop: stop,
-		entries: map[uint64]*entry{}, asks: map[uint64]context.CancelFunc{},
-		jobs: map[uint64]chan<- chuteshare.Update{}, watches: map[string]*watch{}, nodesKnown: make(chan struct{}),
-		known: make(chan struct{}), quarantineKnown: make(chan struct{}),
-		storeCalls: newStoreCalls(),
-		toGossip:   newReportQueue(), toStore: newReportQueue(),
+		messages: make(chan message, maxQueuedMessages), queries: make(chan func(chutecore.State)),
+		runContext: runContext, cancelRun: cancelRun,
+		requests: map[uint64]*request{}, partsRequestCancels: map[uint64]context.CancelFunc{},
+		jobUpdates: map[uint64]chan<- chuteshare.Update{}, localTables: map[string]*localTable{}, nodesLoaded: make(chan struct{}),
+		requiredLoaded: make(chan struct{}), quarantineLoaded: make(chan struct{}),
+		storeCalls:  newStoreCalls(),
+		gossipQueue: newReportQueue(), storeQueue: newReportQueue(),
 	}
 	identity := chutecore.Identity{
 		Node: settings.Self.Name, Zone: settings.Self.Zone, PeerAddress: settings.Self.Address,
@@ -138,16 +138,16 @@
 	n.state = chutecore.NewState(identity, settings.Seed, n.Now()).WithRelay(relay)
 	n.addGauges()
 	for table, stale := range map[string]time.Duration{
-		settings.Tables.Config:     staleAfter(settings.ConfigWithin),
-		settings.Tables.Upstreams:  staleAfter(settings.LeaveWithin),
-		settings.Tables.Peers:      unboundStale,
-		settings.Tables.Quarantine: unboundStale,
+		settings.Tables.Config:     staleAfterFor(settings.ConfigWithin),
+		settings.Tables.Upstreams:  staleAfterFor(settings.LeaveWithin),
+		settings.Tables.Peers:      unboundedStaleAfter,
+		settings.Tables.Quarantine: unboundedStaleAfter,
 	} {
-		n.watches[table] = newWatch(table, stale)
+		n.localTables[table] = newLocalTable(table, stale)
 	}
-	n.watches[settings.Tables.Upstreams].essence = decode.UpstreamEssence
-	n.watches[settings.Tables.Peers].signs = chuteshare.SlowFollowEvery
-	n.watches[settings.Tables.Quarantine].signs = chuteshare.SlowFollowEvery
+	n.localTables[settings.Tables.Upstreams].valueWithoutHeartbeat = decode.UpstreamWithoutHeartbeat
+	n.localTables[settings.Tables.Peers].keepaliveInterval = chuteshare.SlowFollowEvery
+	n.localTables[settings.Tables.Quarantine].keepaliveInterval = chuteshare.SlowFollowEvery
 
 	return n
 }
@@ -163,27 +163,27 @@
 
 // Start begins the loop and the watches.
 func (n *Node) Start() {
-	n.spawn(n.loop)
+	n.spawn(n.runEventLoop)
 	n.spawn(n.watchConfig)
 	n.spawn(n.watchUpstreams)
 	n.spawn(n.watchPeers)
 	n.spawn(n.watchQuarantine)
 	n.spawn(n.gossipReports)
 	n.spawn(n.storeReports)
-	n.spawn(n.register)
-	n.spawn(n.trim)
+	n.spawn(n.registerNode)
+	n.spawn(n.trimConnections)
 	n.spawn(n.flushLedger)
 }
 
 // Stop ends everything; requests in flight are broken off.
 func (n *Node) Stop() {
-	n.stop()
+	n.cancelRun()
 	n.background.Wait()
 	n.peers.Close()
 }
 
 // removeTimeout bounds the removal of the own row; peers find out by asking otherwise.
-const removeTimeout = 2 * time.Second
+const removeRowTimeout = 2 * time.Second
 
 // Drain makes the node unready and hands its duties over; requests in flight go on.
 // The channel it returns is closed when the own row is removed, or not to be waited for.
@@ -198,10 +198,10 @@
 		return removed
 	}
 	n.log.Info().Msg("draining")
-	n.send(chuterelay.DrainStarted{})
+	n.sendEvent(chuterelay.DrainStarted{})
 	n.spawn(func(ctx context.Context) {
 		defer close(removed)
-		ctx, cancel := context.WithTimeout(ctx, removeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, removeRowTimeout)
 		defer cancel()
 		n.storeCalls.add(callRegister)
 		if err := n.store.Remove(ctx, n.settings.Tables.Peers, n.settings.Self.Name); err != nil {
@@ -214,7 +214,7 @@
 
 // RefuseUnsent refuses all requests that no upstream has got yet.
 func (n *Node) RefuseUnsent() {
-	n.send(chuterelay.DrainEnding{})
+	n.sendEvent(chuterelay.DrainEnding{})
 }
 
 // Draining says whether the node was asked to end.
@@ -238,7 +238,7 @@
 	select {
 	case n.queries <- func(s chutecore.State) { f(s); close(done) }:
 		<-done
-	case <-n.running.Done():
+	case <-n.runContext.Done():
 	}
 }
 
@@ -246,56 +246,56 @@
 	n.background.Add(1)
 	go func() {
 		defer n.background.Done()
-		f(n.running)
+		f(n.runContext)
 	}()
 }
 
 // send hands an event to the loop.
-func (n *Node) send(event chuterelay.Event) {
-	n.sendWith(event, nil)
+func (n *Node) sendEvent(event chuterelay.Event) {
+	n.sendEventWith(event, nil)
 }
 
-func (n *Node) sendWith(event chuterelay.Event, before func()) {
+func (n *Node) sendEventWith(event chuterelay.Event, prepare func()) {
 	select {
-	case n.messages <- message{at: n.Now(), event: event, before: before}:
-	case <-n.running.Done():
+	case n.messages <- message{at: n.Now(), relayEvent: event, prepare: prepare}:
+	case <-n.runContext.Done():
 	}
 }
 
 // loop takes events one at a time until the node stops.
-func (n *Node) loop(ctx context.Context) {
+func (n *Node) runEventLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-n.messages:
-			n.take(m) //nolint:contextcheck // effects live as long as the node, not as their event
-		case ask := <-n.queries:
-			ask(n.state)
+		case msg := <-n.messages:
+			n.handleMessage(msg) //nolint:contextcheck // effects live as long as the node, not as their event
+		case query := <-n.queries:
+			query(n.state)
 		}
 	}
 }
 
 // take reduces one event and carries its effects out.
-func (n *Node) take(m message) {
-	if m.before != nil {
-		m.before()
+func (n *Node) handleMessage(msg message) {
+	if msg.prepare != nil {
+		msg.prepare()
 	}
 	var effects []chutecore.Effect
-	event := m.ledger
+	event := msg.ledgerEvent
 	if event == nil {
-		event = chutecore.RelayEvent{Stamp: chutecore.Stamp{At: m.at}, Event: m.event}
+		event = chutecore.RelayEvent{Stamp: chutecore.Stamp{At: msg.at}, Event: msg.relayEvent}
 	}
 	n.state, effects = chutecore.Reduce(n.state, event)
-	n.performAll(effects)
+	n.performEffects(effects)
 }
 
 // performAll carries effects out in order.
-func (n *Node) performAll(effects []chutecore.Effect) {
+func (n *Node) performEffects(effects []chutecore.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case chutecore.RelayEffect:
-			n.perform(e.Effect)
+			n.performEffect(e.Effect)
 		case chutecore.WriteLedgerRows:
 			n.spawn(func(ctx context.Context) { n.writeLedger(ctx, e.Rows) })
 		}
@@ -303,12 +303,12 @@
 }
 
 // after sends an event at a time of the node's clock.
-func (n *Node) after(at time.Time, event chuterelay.Event) clockwork.Timer {
-	return n.clock.AfterFunc(at.Sub(n.Now()), func() { n.send(event) })
+func (n *Node) sendEventAt(at time.Time, event chuterelay.Event) clockwork.Timer {
+	return n.clock.AfterFunc(at.Sub(n.Now()), func() { n.sendEvent(event) })
 }
 
 // pause waits, and says whether the node still runs.
-func (n *Node) pause(ctx context.Context, d time.Duration) bool {
+func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -318,8 +318,8 @@
 }
 
 // trim drops idle connections from time to time.
-func (n *Node) trim(ctx context.Context) {
-	for n.pause(ctx, trimEvery) {
-		n.upstreams.Trim()
+func (n *Node) trimConnections(ctx context.Context) {
+	for n.sleep(ctx, trimInterval) {
+		n.upstreams.TrimIdle()
 	}
 }
--- a/internal/chutegate/ledger.go
+++ b/internal/chutegate/ledger.go
@@ -15,24 +15,24 @@
 	// flushEvery is the time between two writes of a node's cost counters, one call
 	// each. What a node has counted since is lost if it is killed; a planned end
 	// writes first.
-	flushEvery = 20 * time.Second
+	ledgerFlushInterval = 20 * time.Second
 	// flushTimeout bounds one write.
-	flushTimeout = time.Second
+	ledgerWriteTimeout = time.Second
 )
 
 // ledgerParts is the number of parts that the rows of cost counters are spread over. A
 // part does its transactions one after another, some 200 a second. Each part of a
 // thousand nodes' rows has one in three hundred milliseconds.
-const ledgerParts = 16
+const ledgerPartitions = 16
 
 // ledgerPart returns the part of the table that a node writes its rows to.
-func ledgerPart(node string) string {
-	return strconv.FormatUint(xxhash.Sum64String(node)%ledgerParts, 10)
+func ledgerPartition(node string) string {
+	return strconv.FormatUint(xxhash.Sum64String(node)%ledgerPartitions, 10)
 }
 
 // firstFlush returns when a node first writes its counters; the seed differs for each start.
-func firstFlush(seed uint64) time.Duration {
-	return time.Duration(seed % uint64(flushEvery)) //nolint:gosec // below flushEvery
+func firstFlushDelay(seed uint64) time.Duration {
+	return time.Duration(seed % uint64(ledgerFlushInterval)) //nolint:gosec // below flushEvery
 }
 
 // flushLedger writes the cost counters from time to time, each node at a time of its own.
@@ -40,56 +40,56 @@
 // Nodes that start together would write together: of hundreds the store turns many away
 // with 429, and their counters are lost if they are killed before the next time.
 func (n *Node) flushLedger(ctx context.Context) {
-	for pause := firstFlush(n.settings.Seed); n.pause(ctx, pause); pause = flushEvery {
-		n.sendLedger(chutecore.LedgerDue{Stamp: n.stamp()})
+	for delay := firstFlushDelay(n.settings.Seed); n.sleep(ctx, delay); delay = ledgerFlushInterval {
+		n.sendLedgerEvent(chutecore.LedgerDue{Stamp: n.stampNow()})
 	}
 }
 
 // FlushLedger writes all cost counters; the last write of a process that ends.
 func (n *Node) FlushLedger() {
-	n.sendLedger(chutecore.LedgerDue{Stamp: n.stamp(), AtExit: true})
+	n.sendLedgerEvent(chutecore.LedgerDue{Stamp: n.stampNow(), AtExit: true})
 }
 
-func (n *Node) stamp() chutecore.Stamp {
+func (n *Node) stampNow() chutecore.Stamp {
 	return chutecore.Stamp{At: n.Now()}
 }
 
 // sendLedger hands the loop an event about cost counters.
-func (n *Node) sendLedger(event chutecore.Event) {
+func (n *Node) sendLedgerEvent(event chutecore.Event) {
 	select {
-	case n.messages <- message{ledger: event}:
-	case <-n.running.Done():
+	case n.messages <- message{ledgerEvent: event}:
+	case <-n.runContext.Done():
 	}
 }
 
 // writeLedger writes rows on the condition of their versions. A write whose answer
 // is lost is settled by the next one, which meets the row as it is then.
 func (n *Node) writeLedger(ctx context.Context, rows []chuteledger.Row) {
-	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ledgerWriteTimeout)
 	defer cancel()
-	byKey := map[string]chuteledger.Row{}
+	rowsByKey := map[string]chuteledger.Row{}
 	writes := make([]Row, 0, len(rows))
 	for _, row := range rows {
-		byKey[row.Key] = row
+		rowsByKey[row.Key] = row
 		writes = append(writes, Row{Key: row.Key, Value: row.Body, Version: row.Version})
 	}
 	n.storeCalls.add(callCounters)
-	version, present, err := n.store.Replace(ctx, n.settings.Tables.Ledger, ledgerPart(n.settings.Self.Name), writes)
+	version, currentRows, err := n.store.ReplaceIfUnchanged(ctx, n.settings.Tables.Ledger, ledgerPartition(n.settings.Self.Name), writes)
 	if err != nil {
 		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("cost counters not confirmed; they are written again")
 
 		return
 	}
-	if len(present) == 0 {
+	if len(currentRows) == 0 {
 		for _, row := range rows {
-			n.sendLedger(chutecore.LedgerWritten{Stamp: n.stamp(), Row: row, Version: version})
+			n.sendLedgerEvent(chutecore.LedgerWritten{Stamp: n.stampNow(), Row: row, Version: version})
 		}
 
 		return
 	}
-	for _, row := range present {
-		n.sendLedger(chutecore.LedgerRefused{
-			Stamp: n.stamp(), Row: byKey[row.Key], Version: row.Version, Present: row.Value,
+	for _, row := range currentRows {
+		n.sendLedgerEvent(chutecore.LedgerRefused{
+			Stamp: n.stampNow(), Row: rowsByKey[row.Key], Version: row.Version, Present: row.Value,
 		})
 	}
 }
--- a/internal/chutegate/lists.go
+++ b/internal/chutegate/lists.go
@@ -20,15 +20,15 @@
 // configuration it serves nobody, so it sends nothing to a zone that it does not know to be
 // evacuated.
 func (n *Node) watchConfig(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Config]
-	var evacuated []string
-	n.keep(ctx, w, configWait, 0, func() {
-		if zones := n.evacuatedZones(w.snapshot()); !slices.Equal(zones, evacuated) {
-			evacuated = zones
-			n.evacuated.Store(int64(len(zones)))
-			n.send(chuterelay.ZonesEvacuated{Zones: zones})
+	local := n.localTables[n.settings.Tables.Config]
+	var lastZones []string
+	n.keepCurrent(ctx, local, configPollWait, 0, func() {
+		if zones := n.evacuatedZones(local.snapshot()); !slices.Equal(zones, lastZones) {
+			lastZones = zones
+			n.evacuatedZoneCount.Store(int64(len(zones)))
+			n.sendEvent(chuterelay.ZonesEvacuated{Zones: zones})
 		}
-		n.adopt(w)
+		n.adoptConfig(local)
 	})
 }
 
@@ -47,8 +47,8 @@
 }
 
 // adopt puts a newer configuration in force; one that can't be read leaves the old one there.
-func (n *Node) adopt(w *watch) {
-	row, ok := w.snapshot().Get(n.settings.Tables.ConfigKey)
+func (n *Node) adoptConfig(local *localTable) {
+	row, ok := local.snapshot().Get(n.settings.Tables.ConfigKey)
 	if !ok {
 		return
 	}
@@ -64,34 +64,34 @@
 	}
 	cfg = cfg.WithIndex()
 	n.config.Store(&cfg)
-	n.send(chuterelay.ConfigAdopted{Config: cfg})
-	n.noteKnown()
+	n.sendEvent(chuterelay.ConfigAdopted{Config: cfg})
+	n.signalIfRequiredLoaded()
 	n.log.Info().Uint64("Version", cfg.Version).Int("Pipelines", len(cfg.Pipelines)).
-		Int("Keys", len(cfg.Workspaces)).Str("From", w.heard()).Msg("configuration in force")
+		Int("Keys", len(cfg.Workspaces)).Str("From", local.lastChangeFrom()).Msg("configuration in force")
 }
 
 // watchUpstreams keeps the list of upstreams up to date.
 func (n *Node) watchUpstreams(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Upstreams]
-	var last []chutefleet.Upstream
+	local := n.localTables[n.settings.Tables.Upstreams]
+	var lastList []chutefleet.Upstream
 	lastHold := false
-	entries := map[string]entryRead{}
-	n.keep(ctx, w, 0, upstreamsEvery, func() {
-		list, ok := n.upstreamsOf(w.snapshot(), entries)
-		hold := w.settling(n.Now())
-		if !ok || slices.Equal(list, last) && hold == lastHold && n.listed.Load() {
+	decoded := map[string]decodedEntry{}
+	n.keepCurrent(ctx, local, 0, upstreamsReadInterval, func() {
+		list, ok := n.decodeUpstreams(local.snapshot(), decoded)
+		hold := local.isSettling(n.Now())
+		if !ok || slices.Equal(list, lastList) && hold == lastHold && n.upstreamsLoaded.Load() {
 			return
 		}
-		n.send(chuterelay.UpstreamsListed{Upstreams: list, Hold: hold})
-		n.logMoves(last, list)
-		last, lastHold = list, hold
-		n.listed.Store(true)
-		n.noteKnown()
+		n.sendEvent(chuterelay.UpstreamsListed{Upstreams: list, Hold: hold})
+		n.logUpstreamChanges(lastList, list)
+		lastList, lastHold = list, hold
+		n.upstreamsLoaded.Store(true)
+		n.signalIfRequiredLoaded()
 	})
 }
 
 // entryRead is an upstream's entry as it was last read.
-type entryRead struct {
+type decodedEntry struct {
 	value    []byte
 	upstream chutefleet.Upstream
 }
@@ -101,21 +101,21 @@
 //
 // Entries that can't be read are logged when they become so. A line each time for an
 // entry that somebody else has left there would fill the log.
-func (n *Node) upstreamsOf(table chutefeed.Table, entries map[string]entryRead) ([]chutefleet.Upstream, bool) {
+func (n *Node) decodeUpstreams(table chutefeed.Table, decoded map[string]decodedEntry) ([]chutefleet.Upstream, bool) {
 	if table.Version() == 0 {
 		return nil, false
 	}
 	list := make([]chutefleet.Upstream, 0, table.Len())
 	for _, row := range table.Rows() {
-		read, known := entries[row.Key]
-		if !known || !bytes.Equal(read.value, row.Value) {
-			read = n.readEntry(row, read.upstream.State)
-			entries[row.Key] = read
+		entry, known := decoded[row.Key]
+		if !known || !bytes.Equal(entry.value, row.Value) {
+			entry = n.decodeEntry(row, entry.upstream.State)
+			decoded[row.Key] = entry
 		}
-		list = append(list, read.upstream)
+		list = append(list, entry.upstream)
 	}
-	if len(entries) > len(list) {
-		maps.DeleteFunc(entries, func(key string, _ entryRead) bool {
+	if len(decoded) > len(list) {
+		maps.DeleteFunc(decoded, func(key string, _ decodedEntry) bool {
 			_, listed := table.Get(key)
 
 			return !listed
@@ -126,27 +126,27 @@
 }
 
 // readEntry decodes an upstream's entry; before is the state as which it was last read.
-func (n *Node) readEntry(row chutefeed.Row, before chutefleet.State) entryRead {
+func (n *Node) decodeEntry(row chutefeed.Row, previous chutefleet.State) decodedEntry {
 	u, err := n.decode.Upstream(row.Key, row.Value)
 	if err != nil {
 		u = chutefleet.Upstream{Name: row.Key, State: chutefleet.StateUnreadable}
-		if before != chutefleet.StateUnreadable {
-			n.unreadable.Add(1)
+		if previous != chutefleet.StateUnreadable {
+			n.unreadableEntries.Add(1)
 			n.log.Error().Err(err).Str("Key", row.Key).Msg("an upstream's entry can't be read; it gets no calls")
 		}
 	}
 
-	return entryRead{value: row.Value, upstream: u}
+	return decodedEntry{value: row.Value, upstream: u}
 }
 
 // watchPeers keeps the list of nodes up to date.
 func (n *Node) watchPeers(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Peers]
-	n.keep(ctx, w, peersWait, peersEvery, func() {
-		peers := n.decodePeers(w)
+	local := n.localTables[n.settings.Tables.Peers]
+	n.keepCurrent(ctx, local, peersPollWait, peersReadInterval, func() {
+		peers := n.decodePeers(local)
 		n.nodes.Store(&peers)
-		n.nodesListed.Do(func() { close(n.nodesKnown) })
-		n.send(chuterelay.PeersListed{Peers: peers})
+		n.nodesLoadedOnce.Do(func() { close(n.nodesLoaded) })
+		n.sendEvent(chuterelay.PeersListed{Peers: peers})
 	})
 }
 
@@ -160,8 +160,8 @@
 }
 
 // decodePeers decodes the list of nodes.
-func (n *Node) decodePeers(w *watch) []chuterelay.Peer {
-	table := w.snapshot()
+func (n *Node) decodePeers(local *localTable) []chuterelay.Peer {
+	table := local.snapshot()
 	peers := make([]chuterelay.Peer, 0, table.Len())
 	for _, row := range table.Rows() {
 		var peer chuterelay.Peer
@@ -178,7 +178,7 @@
 
 // registerPause is the mean pause after the first write of the own row that failed; it
 // doubles with each further one, to 8 s.
-const registerPause = 500 * time.Millisecond
+const registerRetryPause = 500 * time.Millisecond
 
 // jittered returns a random time with the given mean.
 //
@@ -189,23 +189,23 @@
 }
 
 // register writes the own row, by which other nodes find this one.
-func (n *Node) register(ctx context.Context) {
+func (n *Node) registerNode(ctx context.Context) {
 	value, err := json.Marshal(n.settings.Self)
 	if err != nil {
 		n.log.Error().Err(err).Msg("the own row can't be written")
 
 		return
 	}
-	for failed := 0; ctx.Err() == nil && !n.draining.Load(); failed++ {
-		write, cancel := context.WithTimeout(ctx, readTimeout)
+	for failures := 0; ctx.Err() == nil && !n.draining.Load(); failures++ {
+		writeContext, cancel := context.WithTimeout(ctx, readTimeout)
 		n.storeCalls.add(callRegister)
-		err := n.store.Put(write, n.settings.Tables.Peers, n.settings.Self.Name, value)
+		err := n.store.Put(writeContext, n.settings.Tables.Peers, n.settings.Self.Name, value)
 		cancel()
 		if err == nil {
 			return
 		}
 		n.log.Warn().Err(err).Msg("the own row is not written yet")
-		if !n.pause(ctx, jittered(registerPause<<min(failed, 4))) {
+		if !n.sleep(ctx, jittered(registerRetryPause<<min(failures, 4))) {
 			return
 		}
 	}
--- a/internal/chutegate/guard.go
+++ b/internal/chutegate/liveness.go
@@ -10,19 +10,19 @@
 	// quiet is how long an upstream may show nothing before it is asked whether it
 	// still accepts connections: most first events come sooner, and a pause of 0.8 s
 	// in a stream counts as late.
-	quiet = 600 * time.Millisecond
+	livenessCheckAfter = 600 * time.Millisecond
 	// proofs is how many connections in a row have to fail: one can fail for a lost
 	// packet, two hardly.
-	proofs = 2
+	requiredFailedChecks = 2
 )
 
 // errGone ends a call to an upstream that accepts no connections any more.
-var errGone = errors.New("the upstream accepts no connections any more")
+var errUpstreamGone = errors.New("the upstream accepts no connections any more")
 
 // touch notes a sign of life.
-func (a *attempt) touch() {
+func (a *attempt) recordActivity() {
 	now := a.node.Now()
-	a.heard.Store(&now)
+	a.lastActivity.Store(&now)
 }
 
 // guarded returns a context that ends when the upstream is gone without a word.
@@ -31,14 +31,14 @@
 // out after three seconds; a new connection tells in a third of one. Silence alone
 // proves nothing, since engines think long over some prompts, and a call that must
 // not run twice is left alone in any case.
-func (a *attempt) guarded(ctx context.Context) (context.Context, func()) {
+func (a *attempt) withLivenessCheck(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	a.touch()
+	a.recordActivity()
 	if a.send.Replaceable {
 		a.node.spawn(func(context.Context) {
-			for a.node.pause(ctx, quiet) {
-				if a.node.Now().Sub(*a.heard.Load()) >= quiet && a.gone(ctx) {
-					cancel(errGone)
+			for a.node.sleep(ctx, livenessCheckAfter) {
+				if a.node.Now().Sub(*a.lastActivity.Load()) >= livenessCheckAfter && a.upstreamGone(ctx) {
+					cancel(errUpstreamGone)
 
 					return
 				}
@@ -50,9 +50,9 @@
 }
 
 // gone says whether nothing accepts connections at the upstream's address.
-func (a *attempt) gone(ctx context.Context) bool {
-	for range proofs {
-		if a.node.upstreams.Alive(ctx, a.send.Upstream.Address) || ctx.Err() != nil {
+func (a *attempt) upstreamGone(ctx context.Context) bool {
+	for range requiredFailedChecks {
+		if a.node.upstreams.AcceptsConnections(ctx, a.send.Upstream.Address) || ctx.Err() != nil {
 			return false
 		}
 	}
--- a/internal/chutegate/watch.go
+++ b/internal/chutegate/localtable.go
@@ -12,15 +12,15 @@
 
 // settle is how long after the store's return missing upstreams are kept: live
 // ones are back in the list about two seconds after it.
-const settle = 2200 * time.Millisecond
+const settlePeriod = 2200 * time.Millisecond
 
 // watch is a table of the store as this node knows it.
-type watch struct {
+type localTable struct {
 	name string
 	// essence returns what matters of a row's value; nil if all of it does.
-	essence func(value []byte) []byte
+	valueWithoutHeartbeat func(value []byte) []byte
 	// signs is how often a node that is followed shows that it lives.
-	signs time.Duration
+	keepaliveInterval time.Duration
 	// staleAfter is how long after it was known to be up to date a node that follows another
 	// takes the table for stale and asks the store itself.
 	staleAfter time.Duration
@@ -30,7 +30,7 @@
 	// synced says that table is whole.
 	synced bool
 	// away says that the last read failed.
-	away bool
+	storeLost bool
 	// current says that the last word on the store is good: the own read, or that of
 	// the node that is followed.
 	current bool
@@ -39,55 +39,55 @@
 	confirmedAt time.Time
 	// source is the node that is followed, empty if there is none; sourceAt is
 	// confirmedAt by its word alone.
-	source   chuterelay.Peer
-	sourceAt time.Time
+	source            chuterelay.Peer
+	sourceConfirmedAt time.Time
 	// heardFrom is the node that had the last change; empty if the store did.
-	heardFrom string
+	lastChangeNode string
 	// changed is closed and replaced by each change of the rows, of current and of confirmedAt.
 	changed chan struct{}
 	// returnedAt is when the store answered again after it had been away.
-	returnedAt time.Time
+	storeReturnedAt time.Time
 	// held says that rows may have been kept, when they were last looked at, that
 	// were missing from the list.
-	held bool
+	wasSettling bool
 }
 
-func newWatch(name string, staleAfter time.Duration) *watch {
-	return &watch{name: name, signs: chuteshare.FollowEvery, staleAfter: staleAfter, changed: make(chan struct{})}
+func newLocalTable(name string, staleAfter time.Duration) *localTable {
+	return &localTable{name: name, keepaliveInterval: chuteshare.FollowEvery, staleAfter: staleAfter, changed: make(chan struct{})}
 }
 
 // snapshot returns the table as it is known.
-func (w *watch) snapshot() chutefeed.Table {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) snapshot() chutefeed.Table {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return w.table
+	return local.table
 }
 
 // replace takes a whole table in; one that is older than what is known is left out.
 //
 // The store may answer with rows of some seconds ago. Taking them would bring
 // back an upstream that is leaving, or a configuration that was replaced.
-func (w *watch) replace(p Page) bool {
-	return w.takeStored(chutefeed.Change{Version: p.Version, Whole: true, Rows: w.rowsOf(p)})
+func (local *localTable) replaceAll(p Page) bool {
+	return local.applyFromStore(chutefeed.Change{Version: p.Version, Whole: true, Rows: local.rowsOfPage(p)})
 }
 
 // merge takes changes in and says whether any of them matters.
-func (w *watch) merge(p Page) bool {
-	p.Rows = lastOfEach(p.Rows)
-	c := chutefeed.Change{Version: p.Version, Rows: w.rowsOf(p)}
+func (local *localTable) mergeChanges(p Page) bool {
+	p.Rows = lastChangeOfEachRow(p.Rows)
+	c := chutefeed.Change{Version: p.Version, Rows: local.rowsOfPage(p)}
 	for _, row := range p.Rows {
 		if row.Deleted {
 			c.Gone = append(c.Gone, row.Key)
 		}
 	}
 
-	return w.takeStored(c)
+	return local.applyFromStore(c)
 }
 
 // lastOfEach returns the last change of each row. The store lists every change, and one
 // page may hold a row that was written, deleted and written again.
-func lastOfEach(changes []Row) []Row {
+func lastChangeOfEachRow(changes []Row) []Row {
 	last := make(map[string]uint64, len(changes))
 	for _, row := range changes {
 		last[row.Key] = max(last[row.Key], row.Version)
@@ -100,15 +100,15 @@
 //
 // Every upstream writes its row each second or so, to show that it lives. Taken as
 // changes, these would go on to all nodes, thousands a second.
-func (w *watch) rowsOf(p Page) []chutefeed.Row {
+func (local *localTable) rowsOfPage(p Page) []chutefeed.Row {
 	rows := make([]chutefeed.Row, 0, len(p.Rows))
 	for _, row := range p.Rows {
 		if row.Deleted {
 			continue
 		}
 		value := row.Value
-		if w.essence != nil {
-			value = w.essence(value)
+		if local.valueWithoutHeartbeat != nil {
+			value = local.valueWithoutHeartbeat(value)
 		}
 		rows = append(rows, chutefeed.Row{Key: row.Key, Value: value, Version: row.Version})
 	}
@@ -117,199 +117,199 @@
 }
 
 // takeFrom takes a change of another node in, as take does.
-func (w *watch) takeFrom(node string, c chutefeed.Change) bool {
-	if !w.take(c) {
+func (local *localTable) applyFromNode(node string, c chutefeed.Change) bool {
+	if !local.apply(c) {
 		return false
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.heardFrom = node
+	local.mu.Lock()
+	defer local.mu.Unlock()
+	local.lastChangeNode = node
 
 	return true
 }
 
 // takeStored takes a change of the store in, as take does.
-func (w *watch) takeStored(c chutefeed.Change) bool {
-	return w.takeFrom("", c)
+func (local *localTable) applyFromStore(c chutefeed.Change) bool {
+	return local.applyFromNode("", c)
 }
 
 // heard returns the node that had the last change; empty if the store did.
-func (w *watch) heard() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) lastChangeFrom() string {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return w.heardFrom
+	return local.lastChangeNode
 }
 
 // take takes a change in, unless it is older than what is known, and says whether there
 // is something to look at: rows that changed, or the first state of the table.
-func (w *watch) take(c chutefeed.Change) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) apply(c chutefeed.Change) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	if c.Version < w.table.Version() {
+	if c.Version < local.table.Version() {
 		return false
 	}
-	first := !w.synced
-	w.synced = true
-	next := w.table.With(c)
-	if next.Same(w.table) {
-		w.table = w.table.WithVersion(c.Version)
+	first := !local.synced
+	local.synced = true
+	next := local.table.With(c)
+	if next.Same(local.table) {
+		local.table = local.table.WithVersion(c.Version)
 
 		return first
 	}
-	w.table = next
-	w.wake()
+	local.table = next
+	local.notifyFollowers()
 
 	return true
 }
 
 // wake tells followers to look again; the caller holds mu.
-func (w *watch) wake() {
-	close(w.changed)
-	w.changed = make(chan struct{})
+func (local *localTable) notifyFollowers() {
+	close(local.changed)
+	local.changed = make(chan struct{})
 }
 
 // confirmStep is the least time by which confirmedAt moves on; followers hear of each step at
 // once. A sign of life repeats the same time, give or take the way that it took.
-const confirmStep = 100 * time.Millisecond
+const minConfirmStep = 100 * time.Millisecond
 
 // setCurrent notes whether the last word on the store is good, and says whether that is news.
-func (w *watch) setCurrent(current bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) setCurrent(current bool) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	if w.current == current {
+	if local.current == current {
 		return false
 	}
-	w.current = current
-	w.wake()
+	local.current = current
+	local.notifyFollowers()
 
 	return true
 }
 
 // confirm notes that the table was up to date with the store as of a time.
-func (w *watch) confirm(asOf time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) confirmAt(asOf time.Time) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	if asOf.Sub(w.confirmedAt) >= confirmStep {
-		w.confirmedAt = asOf
-		w.wake()
+	if asOf.Sub(local.confirmedAt) >= minConfirmStep {
+		local.confirmedAt = asOf
+		local.notifyFollowers()
 	}
 }
 
 // follow notes which node is followed from now on; none if its name is empty.
-func (w *watch) follow(source chuterelay.Peer, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) setSource(source chuterelay.Peer, now time.Time) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	w.source, w.sourceAt = source, now
+	local.source, local.sourceConfirmedAt = source, now
 }
 
 // hear takes in a word of the node that is followed, and says whether it is news that this
 // one has lost the store.
-func (w *watch) hear(word chuteshare.Word, now time.Time) bool {
-	if asOf, known := w.hearSay(word, now); known {
-		w.mu.Lock()
-		if asOf.After(w.sourceAt) {
-			w.sourceAt = asOf
+func (local *localTable) recordSourceStatus(status chuteshare.Word, now time.Time) bool {
+	if asOf, known := local.recordPeerStatus(status, now); known {
+		local.mu.Lock()
+		if asOf.After(local.sourceConfirmedAt) {
+			local.sourceConfirmedAt = asOf
 		}
-		w.mu.Unlock()
+		local.mu.Unlock()
 	}
 
-	return w.setCurrent(word.Current) && !word.Current
+	return local.setCurrent(status.Current) && !status.Current
 }
 
 // hearSay takes in the word of any node whose table this one has by now, and returns the time as
 // of which it was up to date there.
-func (w *watch) hearSay(word chuteshare.Word, now time.Time) (time.Time, bool) {
-	asOf := now.Add(-word.Age)
-	if !word.Known() {
+func (local *localTable) recordPeerStatus(status chuteshare.Word, now time.Time) (time.Time, bool) {
+	asOf := now.Add(-status.Age)
+	if !status.Known() {
 		return time.Time{}, false
 	}
-	w.confirm(asOf)
+	local.confirmAt(asOf)
 
 	return asOf, true
 }
 
 // sourceAge returns the node that is followed, false if there is none, and how long ago the
 // table was known to be up to date by its word.
-func (w *watch) sourceAge(now time.Time) (chuterelay.Peer, time.Duration, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) sourceAge(now time.Time) (chuterelay.Peer, time.Duration, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return w.source, now.Sub(w.sourceAt), w.source.Name != ""
+	return local.source, now.Sub(local.sourceConfirmedAt), local.source.Name != ""
 }
 
 // age is how long ago the table was last known to be up to date; false if it never was.
-func (w *watch) age(now time.Time) (time.Duration, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) age(now time.Time) (time.Duration, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return now.Sub(w.confirmedAt), !w.confirmedAt.IsZero()
+	return now.Sub(local.confirmedAt), !local.confirmedAt.IsZero()
 }
 
 // confirmed is the time as of which the table was last known to be up to date, the node's start
 // if it never was.
-func (w *watch) confirmed() time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) lastConfirmed() time.Time {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	if w.confirmedAt.IsZero() {
+	if local.confirmedAt.IsZero() {
 		return epoch
 	}
 
-	return w.confirmedAt
+	return local.confirmedAt
 }
 
 // after returns the version to read on from, and false if everything has to be read.
-func (w *watch) after() (uint64, bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) readPosition() (uint64, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return w.table.Version(), w.synced
+	return local.table.Version(), local.synced
 }
 
 // lost makes the next read a whole one.
-func (w *watch) lost() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) requireFullRead() {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	w.synced = false
+	local.synced = false
 }
 
 // reached notes whether the store answered, and says whether that is news.
-func (w *watch) reached(ok bool, now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) recordStoreResult(answered bool, now time.Time) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	news := w.away == ok
-	if ok && w.away {
-		w.returnedAt = now
+	changed := local.storeLost == answered
+	if answered && local.storeLost {
+		local.storeReturnedAt = now
 	}
-	w.away = !ok
+	local.storeLost = !answered
 
-	return news
+	return changed
 }
 
 // followed returns what followers get.
-func (w *watch) followed(now time.Time) chuteshare.Followed {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) stateForFollowers(now time.Time) chuteshare.Followed {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
 	return chuteshare.Followed{
-		Table: w.table, Current: w.synced && w.current, Age: w.ageAt(now), Changed: w.changed,
+		Table: local.table, Current: local.synced && local.current, Age: local.ageLocked(now), Changed: local.changed,
 	}
 }
 
 // ageAt is how long ago the table was known to be up to date, 0 if it never was; the caller holds mu.
-func (w *watch) ageAt(now time.Time) time.Duration {
-	if w.confirmedAt.IsZero() {
+func (local *localTable) ageLocked(now time.Time) time.Duration {
+	if local.confirmedAt.IsZero() {
 		return 0
 	}
 
-	return max(now.Sub(w.confirmedAt), time.Millisecond)
+	return max(now.Sub(local.confirmedAt), time.Millisecond)
 }
 
 // unsettled says whether the rows have to be looked at although none has changed:
@@ -317,20 +317,20 @@
 //
 // An upstream that was removed while the list settled is kept so long. If nothing
 // changed after that, nobody looked again, and it went on getting calls.
-func (w *watch) unsettled(now time.Time) bool {
-	settling := w.settling(now)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	again := settling || w.held
-	w.held = settling
-
-	return again
+func (local *localTable) needsReview(now time.Time) bool {
+	settling := local.isSettling(now)
+	local.mu.Lock()
+	defer local.mu.Unlock()
+	review := settling || local.wasSettling
+	local.wasSettling = settling
+
+	return review
 }
 
 // settling says whether rows that are missing may yet come back.
-func (w *watch) settling(now time.Time) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (local *localTable) isSettling(now time.Time) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
 
-	return w.away || !w.returnedAt.IsZero() && now.Sub(w.returnedAt) < settle
+	return local.storeLost || !local.storeReturnedAt.IsZero() && now.Sub(local.storeReturnedAt) < settlePeriod
 }
--- a/internal/chutegate/watch_test.go
+++ b/internal/chutegate/localtable_test.go
@@ -18,20 +18,20 @@
 )
 
 // beatless drops what stands behind a bar, as heartbeats change it.
-func beatless(value []byte) []byte {
+func withoutHeartbeat(value []byte) []byte {
 	before, _, _ := bytes.Cut(value, []byte("|"))
 
 	return before
 }
 
-func newTestWatch() *watch {
-	w := newWatch("t", shortestStale)
-	w.essence = beatless
+func newTestTable() *localTable {
+	local := newLocalTable("t", minStaleAfter)
+	local.valueWithoutHeartbeat = withoutHeartbeat
 
-	return w
+	return local
 }
 
-func page(version uint64, rows ...Row) Page {
+func newPage(version uint64, rows ...Row) Page {
 	return Page{Version: version, Rows: rows}
 }
 
@@ -40,22 +40,22 @@
 		// Thousands of upstreams write their rows each second. Sent on, that is a
 		// thousand rows a second to every node.
 		c := qt.New(t)
-		w := newTestWatch()
-		c.Assert(w.replace(page(1, Row{Key: "u", Value: []byte("ready|1"), Version: 1})), qt.IsTrue)
-		before := w.followed(time.Unix(0, 0))
-		c.Assert(w.merge(page(2, Row{Key: "u", Value: []byte("ready|2"), Version: 2})), qt.IsFalse)
-		c.Assert(w.followed(time.Unix(0, 0)).Changed, qt.Equals, before.Changed)
-		c.Assert(w.followed(time.Unix(0, 0)).Table.Version(), qt.Equals, uint64(2))
-		c.Assert(w.merge(page(3, Row{Key: "u", Value: []byte("leaving|3"), Version: 3})), qt.IsTrue)
+		local := newTestTable()
+		c.Assert(local.replaceAll(newPage(1, Row{Key: "u", Value: []byte("ready|1"), Version: 1})), qt.IsTrue)
+		before := local.stateForFollowers(time.Unix(0, 0))
+		c.Assert(local.mergeChanges(newPage(2, Row{Key: "u", Value: []byte("ready|2"), Version: 2})), qt.IsFalse)
+		c.Assert(local.stateForFollowers(time.Unix(0, 0)).Changed, qt.Equals, before.Changed)
+		c.Assert(local.stateForFollowers(time.Unix(0, 0)).Table.Version(), qt.Equals, uint64(2))
+		c.Assert(local.mergeChanges(newPage(3, Row{Key: "u", Value: []byte("leaving|3"), Version: 3})), qt.IsTrue)
 		<-before.Changed
 	})
 
 	t.Run("what is older than what is known is left out", func(t *testing.T) {
 		c := qt.New(t)
-		w := newTestWatch()
-		w.replace(page(5, Row{Key: "u", Value: []byte("leaving|1"), Version: 5}))
-		c.Assert(w.replace(page(4, Row{Key: "u", Value: []byte("ready|1"), Version: 3})), qt.IsFalse)
-		row, _ := w.snapshot().Get("u")
+		local := newTestTable()
+		local.replaceAll(newPage(5, Row{Key: "u", Value: []byte("leaving|1"), Version: 5}))
+		c.Assert(local.replaceAll(newPage(4, Row{Key: "u", Value: []byte("ready|1"), Version: 3})), qt.IsFalse)
+		row, _ := local.snapshot().Get("u")
 		c.Assert(string(row.Value), qt.Equals, "leaving")
 	})
 
@@ -64,15 +64,15 @@
 		// read brings each configuration of that time; with the first of them in force
 		// callers whose keys are gone were served for four seconds.
 		c := qt.New(t)
-		w := newTestWatch()
-		w.replace(page(1, Row{Key: "c", Value: []byte("1"), Version: 1}, Row{Key: "u", Value: []byte("ready"), Version: 1}))
-		w.merge(page(
+		local := newTestTable()
+		local.replaceAll(newPage(1, Row{Key: "c", Value: []byte("1"), Version: 1}, Row{Key: "u", Value: []byte("ready"), Version: 1}))
+		local.mergeChanges(newPage(
 			9,
 			Row{Key: "c", Value: []byte("2"), Version: 2}, Row{Key: "v", Value: []byte("ready"), Version: 3},
 			Row{Key: "u", Version: 4, Deleted: true}, Row{Key: "c", Value: []byte("3"), Version: 5},
 			Row{Key: "v", Version: 6, Deleted: true}, Row{Key: "u", Value: []byte("ready"), Version: 7},
 		))
-		rows := w.snapshot().Rows()
+		rows := local.snapshot().Rows()
 		c.Assert(rows, qt.HasLen, 2)
 		c.Assert(string(rows[0].Value), qt.Equals, "3")
 		c.Assert(rows[1].Key, qt.Equals, "u")
@@ -80,35 +80,35 @@
 
 	t.Run("a deleted row is gone", func(t *testing.T) {
 		c := qt.New(t)
-		w := newTestWatch()
-		w.replace(page(5, Row{Key: "u", Value: []byte("ready"), Version: 5}))
-		c.Assert(w.merge(page(6, Row{Key: "u", Version: 6, Deleted: true})), qt.IsTrue)
-		c.Assert(w.snapshot().Len(), qt.Equals, 0)
+		local := newTestTable()
+		local.replaceAll(newPage(5, Row{Key: "u", Value: []byte("ready"), Version: 5}))
+		c.Assert(local.mergeChanges(newPage(6, Row{Key: "u", Version: 6, Deleted: true})), qt.IsTrue)
+		c.Assert(local.snapshot().Len(), qt.Equals, 0)
 	})
 
 	t.Run("followers hear at once that a node is out of date", func(t *testing.T) {
 		// The node that all follow has lost the store. Each word that it is current
 		// would keep its followers from asking for themselves.
 		c := qt.New(t)
-		w := newTestWatch()
-		w.replace(page(1))
-		w.confirm(time.Unix(0, 0))
-		w.setCurrent(true)
-		before := w.followed(time.Unix(0, 0))
+		local := newTestTable()
+		local.replaceAll(newPage(1))
+		local.confirmAt(time.Unix(0, 0))
+		local.setCurrent(true)
+		before := local.stateForFollowers(time.Unix(0, 0))
 		c.Assert(before.Current, qt.IsTrue)
-		w.setCurrent(false)
+		local.setCurrent(false)
 		<-before.Changed
-		c.Assert(w.followed(time.Unix(0, 0)).Current, qt.IsFalse)
+		c.Assert(local.stateForFollowers(time.Unix(0, 0)).Current, qt.IsFalse)
 	})
 
 	t.Run("a table whose history is gone is not handed on as current", func(t *testing.T) {
 		c := qt.New(t)
-		w := newTestWatch()
-		w.replace(page(1))
-		w.confirm(time.Unix(0, 0))
-		w.setCurrent(true)
-		w.lost()
-		c.Assert(w.followed(time.Unix(0, 0)).Current, qt.IsFalse)
+		local := newTestTable()
+		local.replaceAll(newPage(1))
+		local.confirmAt(time.Unix(0, 0))
+		local.setCurrent(true)
+		local.requireFullRead()
+		c.Assert(local.stateForFollowers(time.Unix(0, 0)).Current, qt.IsFalse)
 	})
 }
 
@@ -121,7 +121,7 @@
 	return n, &log
 }
 
-func upstreams(n int, state chutefleet.State) []chutefleet.Upstream {
+func newUpstreams(n int, state chutefleet.State) []chutefleet.Upstream {
 	all := make([]chutefleet.Upstream, 0, n)
 	for i := range n {
 		all = append(all, chutefleet.Upstream{ID: fmt.Sprint("u", i), Name: fmt.Sprint("u", i), Pool: "p", State: state})
@@ -130,46 +130,46 @@
 	return all
 }
 
-func TestLogMoves(t *testing.T) {
+func TestLogUpstreamChanges(t *testing.T) {
 	// A node that starts finds all upstreams at once, and a failure takes many along.
 	// One line each, of every node, drowns what on-call looks for.
 	lines := func(before, after []chutefleet.Upstream) []string {
 		n, log := newTestNode(Decoders{})
-		n.logMoves(before, after)
+		n.logUpstreamChanges(before, after)
 
 		return strings.Split(strings.TrimSpace(log.String()), "\n")
 	}
 
 	t.Run("3,000 upstreams at a start are one line that counts them", func(t *testing.T) {
 		c := qt.New(t)
-		got := lines(nil, upstreams(3000, chutefleet.StateReady))
+		got := lines(nil, newUpstreams(3000, chutefleet.StateReady))
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0], qt.Contains, `"Upstreams":3000,"Joined":3000`)
 	})
 
 	t.Run("1,500 that go at once are one line", func(t *testing.T) {
 		c := qt.New(t)
-		got := lines(upstreams(3000, chutefleet.StateReady), upstreams(1500, chutefleet.StateReady))
+		got := lines(newUpstreams(3000, chutefleet.StateReady), newUpstreams(1500, chutefleet.StateReady))
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0], qt.Contains, `"Gone":1500`)
 	})
 
 	t.Run("one that leaves has its line", func(t *testing.T) {
 		c := qt.New(t)
-		after := upstreams(3000, chutefleet.StateReady)
+		after := newUpstreams(3000, chutefleet.StateReady)
 		after[7].State = chutefleet.StateLeaving
-		got := lines(upstreams(3000, chutefleet.StateReady), after)
+		got := lines(newUpstreams(3000, chutefleet.StateReady), after)
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0], qt.Contains, `"Upstream":"u7"`)
 	})
 }
 
-func TestUpstreamsOf(t *testing.T) {
+func TestDecodeUpstreams(t *testing.T) {
 	t.Run("of a long list only what changed is decoded", func(t *testing.T) {
 		c := qt.New(t)
-		decoded := 0
+		decodeCalls := 0
 		n, _ := newTestNode(Decoders{Upstream: func(key string, _ []byte) (chutefleet.Upstream, error) {
-			decoded++
+			decodeCalls++
 
 			return chutefleet.Upstream{ID: key, Name: key}, nil
 		}})
@@ -178,19 +178,19 @@
 			rows = append(rows, chutefeed.Row{Key: fmt.Sprint("u", i), Value: []byte("ready")})
 		}
 		table := chutefeed.NewTable(rows, 1)
-		entries := map[string]entryRead{}
-		n.upstreamsOf(table, entries)
-		decoded = 0
+		decoded := map[string]decodedEntry{}
+		n.decodeUpstreams(table, decoded)
+		decodeCalls = 0
 		table = table.With(chutefeed.Change{Version: 2, Rows: []chutefeed.Row{{Key: "u3", Value: []byte("leaving")}}, Gone: []string{"u4"}})
-		list, ok := n.upstreamsOf(table, entries)
+		list, ok := n.decodeUpstreams(table, decoded)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(list, qt.HasLen, 2999)
-		c.Assert(decoded, qt.Equals, 1)
-		c.Assert(entries, qt.HasLen, 2999)
+		c.Assert(decodeCalls, qt.Equals, 1)
+		c.Assert(decoded, qt.HasLen, 2999)
 	})
 }
 
-func TestLedgerTimes(t *testing.T) {
+func TestLedgerWritesSpread(t *testing.T) {
 	t.Run("400 nodes write at times of their own, over all parts", func(t *testing.T) {
 		// Nodes that start together wrote together, into one part that does 200
 		// transactions a second: half of them were turned away with 429.
@@ -199,13 +199,13 @@
 		seconds := map[string]int{}
 		parts := map[string]int{}
 		for i := range nodes {
-			part := ledgerPart(fmt.Sprint("edge-", i))
+			part := ledgerPartition(fmt.Sprint("edge-", i))
 			parts[part]++
-			at := firstFlush(uint64(i) * 0x9e3779b97f4a7c15)
-			c.Assert(at < flushEvery, qt.IsTrue)
+			at := firstFlushDelay(uint64(i) * 0x9e3779b97f4a7c15)
+			c.Assert(at < ledgerFlushInterval, qt.IsTrue)
 			seconds[fmt.Sprint(part, at.Truncate(time.Second))]++
 		}
-		c.Assert(parts, qt.HasLen, ledgerParts)
+		c.Assert(parts, qt.HasLen, ledgerPartitions)
 		for at, n := range seconds {
 			c.Assert(n <= 10, qt.IsTrue, qt.Commentf("%d writes of a part in one second: %s", n, at))
 		}
@@ -217,27 +217,27 @@
 func TestOldAnswerConfirmsNothing(t *testing.T) {
 	c := qt.New(t)
 	clock := clockwork.NewFakeClock()
-	answer := page(5, Row{Key: "c", Value: []byte("2"), Version: 5})
+	answer := newPage(5, Row{Key: "c", Value: []byte("2"), Version: 5})
 	n := New(Settings{Tables: testTables}, clock, zerolog.Nop(), Store{
-		All:     func(context.Context, string) (Page, error) { return answer, nil },
-		Changes: func(context.Context, string, uint64, time.Duration) (Page, error) { return answer, nil },
+		ReadAll:      func(context.Context, string) (Page, error) { return answer, nil },
+		AwaitChanges: func(context.Context, string, uint64, time.Duration) (Page, error) { return answer, nil },
 	}, testDecoders(), Upstreams{})
-	w := n.watches[testTables.Config]
+	local := n.localTables[testTables.Config]
 	read := func() error {
-		_, err := n.read(context.Background(), w, 0, callRead)
+		_, err := n.readStore(context.Background(), local, 0, callRead)
 
 		return err
 	}
 	c.Assert(read(), qt.IsNil)
 	clock.Advance(time.Second)
-	answer = page(4, Row{Key: "c", Value: []byte("1"), Version: 4})
-	c.Assert(read(), qt.Equals, errOld)
-	w.lost()
-	c.Assert(read(), qt.Equals, errOld)
-	age, known := w.age(n.Now())
+	answer = newPage(4, Row{Key: "c", Value: []byte("1"), Version: 4})
+	c.Assert(read(), qt.Equals, errStaleAnswer)
+	local.requireFullRead()
+	c.Assert(read(), qt.Equals, errStaleAnswer)
+	age, known := local.age(n.Now())
 	c.Assert(known, qt.IsTrue)
 	c.Assert(age, qt.Equals, time.Second)
-	c.Assert(w.followed(n.Now()).Age, qt.Equals, time.Second)
+	c.Assert(local.stateForFollowers(n.Now()).Age, qt.Equals, time.Second)
 }
 
 // Guards against an unknown pipeline or key that is refused for good by a node whose
@@ -248,21 +248,21 @@
 	unknown := chuterelay.Refusal{Kind: chuterelay.RefusedNoPipeline, Reason: "no pipeline"}
 
 	t.Run("while it was never known to be the newest", func(t *testing.T) {
-		qt.Assert(t, n.unlessStale(unknown).Kind, qt.Equals, chuterelay.RefusedNotRun)
+		qt.Assert(t, n.asRetryableIfStale(unknown).Kind, qt.Equals, chuterelay.RefusedNotRun)
 	})
 
-	n.watches[testTables.Config].confirm(n.Now())
+	n.localTables[testTables.Config].confirmAt(n.Now())
 	clock.Advance(3 * time.Second)
 
 	t.Run("a change within the bound may be missing", func(t *testing.T) {
-		qt.Assert(t, n.unlessStale(unknown), qt.Equals, unknown)
+		qt.Assert(t, n.asRetryableIfStale(unknown), qt.Equals, unknown)
 	})
 
 	clock.Advance(time.Millisecond)
 
 	t.Run("a change may be missing that should be in force", func(t *testing.T) {
 		c := qt.New(t)
-		r := n.unlessStale(unknown)
+		r := n.asRetryableIfStale(unknown)
 		c.Assert(r.Kind, qt.Equals, chuterelay.RefusedNotRun)
 		c.Assert(r.RetryAfter > 0, qt.IsTrue)
 	})
--- a/internal/chutegate/metrics.go
+++ b/internal/chutegate/metrics.go
@@ -10,16 +10,16 @@
 
 // addGauges adds the figures that are read when metrics are asked for.
 func (n *Node) addGauges() {
-	n.meter.Gauge("ready", func() float64 { return truth(n.Ready()) })
-	n.meter.Gauge("draining", func() float64 { return truth(n.Draining()) })
+	n.meter.Gauge("ready", func() float64 { return boolToFloat(n.Ready()) })
+	n.meter.Gauge("draining", func() float64 { return boolToFloat(n.Draining()) })
 	n.meter.Gauge("config_version", func() float64 {
 		cfg, _ := n.Config()
 
 		return float64(cfg.Version)
 	})
-	n.meter.Gauge("unreadable_entries_total", func() float64 { return float64(n.unreadable.Load()) })
+	n.meter.Gauge("unreadable_entries_total", func() float64 { return float64(n.unreadableEntries.Load()) })
 	n.meter.Gauge("config_age_seconds", func() float64 {
-		age, known := n.watches[n.settings.Tables.Config].age(n.Now())
+		age, known := n.localTables[n.settings.Tables.Config].age(n.Now())
 		if !known {
 			return -1
 		}
@@ -27,7 +27,7 @@
 		return age.Seconds()
 	})
 	n.meter.Gauge("refused_by_stale_config_total", func() float64 { return float64(n.staleRefusals.Load()) })
-	n.meter.Gauge("zones_evacuated", func() float64 { return float64(n.evacuated.Load()) })
+	n.meter.Gauge("zones_evacuated", func() float64 { return float64(n.evacuatedZoneCount.Load()) })
 	n.meter.Gauge("upstreams_cold", func() float64 {
 		cold := 0
 		n.Query(func(s chutecore.State) { cold = s.Relay().Fleet().Cold(n.Now()) })
@@ -41,7 +41,7 @@
 		return float64(limited)
 	})
 	n.storeCalls.addGauges(n.meter.Gauge)
-	n.meter.Gauge("upstreams_ended_under_requests_total", func() float64 { return float64(n.crashes.Load()) })
+	n.meter.Gauge("upstreams_ended_under_requests_total", func() float64 { return float64(n.upstreamCrashes.Load()) })
 	n.meter.Gauge("requests_quarantined", func() float64 {
 		held := 0
 		n.Query(func(s chutecore.State) { held = len(s.Relay().Quarantine().Held(n.Now())) })
@@ -58,7 +58,7 @@
 	})
 }
 
-func truth(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -12,10 +12,10 @@
 
 // freeTimeout bounds the word to an upstream that results may go; what it misses
 // runs out by itself within seconds.
-const freeTimeout = time.Second
+const freeResultsTimeout = time.Second
 
 // perform carries one effect out; whatever blocks runs beside the loop.
-func (n *Node) perform(effect chuterelay.Effect) {
+func (n *Node) performEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.SetDeadline:
 		n.setDeadline(e)
@@ -24,46 +24,46 @@
 	case chuterelay.CancelSend:
 		n.cancelSend(e)
 	case chuterelay.Deliver:
-		n.deliver(e)
+		n.deliverAnswer(e)
 	case chuterelay.Refuse:
-		n.end(e.Handle, final{refusal: &e.Refusal})
+		n.finishRequest(e.Handle, requestResult{refusal: &e.Refusal})
 	case chuterelay.Forget:
-		n.forget(e.Handle)
+		n.forgetRequest(e.Handle)
 	case chuterelay.Note:
 		n.meter.Note(e)
-		n.logNote(e)
+		n.logDecision(e)
 	case chuterelay.NoteZone:
 		n.log.Warn().Str("At", e.Zone).Bool("CutOff", e.CutOff).Strs("Silent", e.Silent).Msg("zone")
 	case chuterelay.NoteEvacuation:
 		n.log.Warn().Str("At", e.Zone).Bool("Evacuated", e.Evacuated).Msg("evacuation")
 	default:
-		n.performQuarantine(effect)
+		n.performQuarantineEffect(effect)
 	}
 }
 
 // performParts carries out the effects that concern stages' parts.
-func (n *Node) performParts(effect chuterelay.Effect) {
+func (n *Node) performPartsEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.AskParts:
-		n.askParts(e)
+		n.requestParts(e)
 	case chuterelay.DropAsk:
-		n.dropAsk(e.Ask)
+		n.cancelPartsRequest(e.Ask)
 	case chuterelay.GiveParts:
-		n.update(e.Token, chuteshare.Update{Results: e.Results, Wait: e.Wait, Beyond: e.Beyond, Loads: e.Loads})
+		n.sendJobUpdate(e.Token, chuteshare.Update{Results: e.Results, Wait: e.Wait, Beyond: e.Beyond, Loads: e.Loads})
 	case chuterelay.RefuseParts:
-		n.update(e.Token, chuteshare.Update{
+		n.sendJobUpdate(e.Token, chuteshare.Update{
 			Failure: e.Reason, Leaving: e.Leaving, Wait: e.Wait, Beyond: e.Beyond, Loads: e.Loads,
 		})
 	case chuterelay.RunCall:
-		n.spawn(func(ctx context.Context) { n.runCall(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.runPartsCall(ctx, e) })
 	case chuterelay.FreeResults:
-		n.spawn(func(ctx context.Context) { n.free(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.freeResults(ctx, e) })
 	case chuterelay.DropConnections:
-		n.upstreams.Forget(e.Address)
+		n.upstreams.CloseIdle(e.Address)
 	case chuterelay.Probe:
-		n.spawn(func(ctx context.Context) { n.probe(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.probeUpstream(ctx, e) })
 	case chuterelay.TickAt:
-		n.after(e.At, chuterelay.Ticked{})
+		n.sendEventAt(e.At, chuterelay.Ticked{})
 	case chuterelay.NoteLimit:
 		n.logLimit(e)
 	}
@@ -81,109 +81,109 @@
 }
 
 func (n *Node) setDeadline(e chuterelay.SetDeadline) {
-	if entry, ok := n.entries[e.Handle]; ok {
-		entry.deadline = n.after(e.At, chuterelay.DeadlinePassed{Handle: e.Handle})
+	if req, ok := n.requests[e.Handle]; ok {
+		req.deadline = n.sendEventAt(e.At, chuterelay.DeadlinePassed{Handle: e.Handle})
 	}
 }
 
 func (n *Node) cancelSend(e chuterelay.CancelSend) {
-	entry, ok := n.entries[e.Handle]
+	req, ok := n.requests[e.Handle]
 	if !ok {
 		return
 	}
-	if cancel, ok := entry.attempts[e.Attempt]; ok {
+	if cancel, ok := req.attempts[e.Attempt]; ok {
 		cancel()
 	}
 }
 
 // deliver gives the caller the attempt's answer; of a stream only the end is left to give.
-func (n *Node) deliver(e chuterelay.Deliver) {
-	entry, ok := n.entries[e.Handle]
+func (n *Node) deliverAnswer(e chuterelay.Deliver) {
+	req, ok := n.requests[e.Handle]
 	if !ok {
 		return
 	}
-	answer, ok := entry.answers[e.Attempt]
+	answer, ok := req.bufferedAnswers[e.Attempt]
 	if !ok {
-		n.end(e.Handle, final{})
+		n.finishRequest(e.Handle, requestResult{})
 
 		return
 	}
-	n.end(e.Handle, final{answer: &answer})
+	n.finishRequest(e.Handle, requestResult{answer: &answer})
 }
 
 // end hands a request's end to whoever waits for it; the first end counts.
-func (n *Node) end(handle uint64, f final) {
-	entry, ok := n.entries[handle]
+func (n *Node) finishRequest(handle uint64, result requestResult) {
+	req, ok := n.requests[handle]
 	if !ok {
 		return
 	}
 	select {
-	case entry.final <- f:
+	case req.result <- result:
 	default:
 	}
 }
 
 // forget drops what is kept of a request.
-func (n *Node) forget(handle uint64) {
-	entry, ok := n.entries[handle]
+func (n *Node) forgetRequest(handle uint64) {
+	req, ok := n.requests[handle]
 	if !ok {
 		return
 	}
-	n.end(handle, final{dropped: true})
-	if entry.deadline != nil {
-		entry.deadline.Stop()
+	n.finishRequest(handle, requestResult{abandoned: true})
+	if req.deadline != nil {
+		req.deadline.Stop()
 	}
-	for _, cancel := range entry.attempts {
+	for _, cancel := range req.attempts {
 		cancel()
 	}
-	delete(n.entries, handle)
+	delete(n.requests, handle)
 }
 
 // askParts runs a job at a peer's collector; the lease ends with dropAsk.
-func (n *Node) askParts(e chuterelay.AskParts) {
-	ctx, cancel := context.WithCancel(n.running)
-	n.asks[e.Ask] = cancel
+func (n *Node) requestParts(e chuterelay.AskParts) {
+	ctx, cancel := context.WithCancel(n.runContext)
+	n.partsRequestCancels[e.Ask] = cancel
 	n.spawn(func(context.Context) {
 		defer cancel()
 		end, ended := n.peers.Make(ctx, e.Peer.Address, chuteshare.Ask{Job: e.Job, Loads: e.Loads}, n.Now(), func(u chuteshare.Update) {
-			n.send(chuterelay.PartsMade{Ask: e.Ask, Results: u.Results, Wait: u.Wait, Beyond: u.Beyond, Loads: u.Loads})
+			n.sendEvent(chuterelay.PartsMade{Ask: e.Ask, Results: u.Results, Wait: u.Wait, Beyond: u.Beyond, Loads: u.Loads})
 		})
 		if !ended {
 			return
 		}
-		n.send(chuterelay.PartsFailed{
+		n.sendEvent(chuterelay.PartsFailed{
 			Ask: e.Ask, PeerLost: end.Lost, PeerSilent: end.Silent, Reason: end.Reason, Wait: end.Wait,
 			Beyond: end.Beyond, Loads: end.Loads,
 		})
 	})
 }
 
-func (n *Node) dropAsk(id uint64) {
-	if cancel, ok := n.asks[id]; ok {
+func (n *Node) cancelPartsRequest(id uint64) {
+	if cancel, ok := n.partsRequestCancels[id]; ok {
 		cancel()
-		delete(n.asks, id)
+		delete(n.partsRequestCancels, id)
 	}
 }
 
 // update tells a peer what became of its job; the channel has room for the one update there is.
-func (n *Node) update(token uint64, u chuteshare.Update) {
-	if updates, ok := n.jobs[token]; ok {
+func (n *Node) sendJobUpdate(token uint64, u chuteshare.Update) {
+	if updates, ok := n.jobUpdates[token]; ok {
 		updates <- u
-		delete(n.jobs, token)
+		delete(n.jobUpdates, token)
 	}
 }
 
 // runCall hands a batch of parts to an upstream.
-func (n *Node) runCall(ctx context.Context, e chuterelay.RunCall) {
+func (n *Node) runPartsCall(ctx context.Context, e chuterelay.RunCall) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	now := n.Now()
-	parts := make([]PartWork, 0, len(e.Call.Parts))
+	parts := make([]PartRequest, 0, len(e.Call.Parts))
 	for i, p := range e.Call.Parts {
 		job := e.Call.Jobs[i]
-		parts = append(parts, PartWork{
+		parts = append(parts, PartRequest{
 			Request: job.Request, Stage: job.Stage, Index: p.Index,
-			Left: job.Deadline.Sub(now), Key: job.Key, Inputs: job.Inputs,
+			TimeLeft: job.Deadline.Sub(now), Key: job.Key, Inputs: job.Inputs,
 		})
 	}
 	answer, err := n.upstreams.RunParts(ctx, e.Upstream, parts)
@@ -193,19 +193,19 @@
 	}
 	switch {
 	case err != nil:
-		ended.End, ended.Failure = lostCall(err)
+		ended.End, ended.Failure = classifyPartsFailure(err)
 		ended.Silent = asSendError(err).Silent
-		ended.UpstreamEnded = ended.End == chutebatch.CallLost && !ended.Silent && n.upstreamEnded(ctx, e.Upstream)
+		ended.UpstreamEnded = ended.End == chutebatch.CallLost && !ended.Silent && n.upstreamHasEnded(ctx, e.Upstream)
 		n.log.Debug().Err(err).Str("Upstream", e.Upstream.ID).Str("Pool", e.Upstream.Pool).
 			Int("Parts", len(parts)).Msg("call with parts failed")
 	case answer.Refused:
 		ended.End, ended.Failure = chutebatch.CallRefused, chutefleet.FailureFull
 	}
-	n.send(ended)
+	n.sendEvent(ended)
 }
 
 // lostCall says what a failed call with parts means.
-func lostCall(err error) (chutebatch.CallEnd, chutefleet.FailureKind) {
+func classifyPartsFailure(err error) (chutebatch.CallEnd, chutefleet.FailureKind) {
 	failure := asSendError(err)
 	kind := chutefleet.FailureBroken
 	if failure.Silent {
@@ -219,31 +219,31 @@
 }
 
 // probe asks whether a silent upstream accepts connections again.
-func (n *Node) probe(ctx context.Context, e chuterelay.Probe) {
-	if !n.pause(ctx, e.At.Sub(n.Now())) {
+func (n *Node) probeUpstream(ctx context.Context, e chuterelay.Probe) {
+	if !n.sleep(ctx, e.At.Sub(n.Now())) {
 		return
 	}
-	n.send(chuterelay.ProbeEnded{Upstream: e.Upstream.ID, Alive: n.upstreams.Alive(ctx, e.Upstream.Address)})
+	n.sendEvent(chuterelay.ProbeEnded{Upstream: e.Upstream.ID, Alive: n.upstreams.AcceptsConnections(ctx, e.Upstream.Address)})
 }
 
 // free tells an upstream that results may go.
-func (n *Node) free(ctx context.Context, e chuterelay.FreeResults) {
-	ctx, cancel := context.WithTimeout(ctx, freeTimeout)
+func (n *Node) freeResults(ctx context.Context, e chuterelay.FreeResults) {
+	ctx, cancel := context.WithTimeout(ctx, freeResultsTimeout)
 	defer cancel()
-	if err := n.upstreams.Free(ctx, e.Upstream, e.Refs); err != nil {
+	if err := n.upstreams.FreeResults(ctx, e.Upstream, e.Refs); err != nil {
 		n.log.Debug().Err(err).Str("Upstream", e.Upstream.ID).Int("Results", len(e.Refs)).
 			Msg("results not freed; they run out by themselves")
 	}
 }
 
 // takeJob takes a peer's job to the own collector.
-func (n *Node) takeJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
-	n.sendWith(chuterelay.JobAsked{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobs[token] = updates })
+func (n *Node) acceptJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
+	n.sendEventWith(chuterelay.JobAsked{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobUpdates[token] = updates })
 }
 
 // workspaceOf returns whose request a line is about. Only the first line and the last one
 // say it: the others are most of the log, and their request's id leads to these two.
-func workspaceOf(e chuterelay.Note) string {
+func workspaceForLog(e chuterelay.Note) string {
 	switch e.Step {
 	case chuterelay.StepAdmitted, chuterelay.StepRefused, chuterelay.StepAnswered, chuterelay.StepFailed, chuterelay.StepCancelled:
 		return e.Workspace
@@ -253,7 +253,7 @@
 }
 
 // logNote writes one decision on a request.
-func (n *Node) logNote(e chuterelay.Note) {
+func (n *Node) logDecision(e chuterelay.Note) {
 	line := n.log.Info().Str("Request", e.Request).Str("Pipeline", e.Pipeline).Str("Pool", e.Pool)
 	if e.Stage >= 0 {
 		line = line.Int("Stage", e.Stage)
@@ -265,7 +265,7 @@
 		line = line.Int64("AimMs", e.Aim.Milliseconds())
 	}
 	for _, field := range []struct{ name, value string }{
-		{"Fingerprint", e.Fingerprint}, {"Workspace", workspaceOf(e)}, {"Upstream", e.Upstream}, {"Peer", e.Peer}, {"At", e.Zone}, {"Reason", e.Reason},
+		{"Fingerprint", e.Fingerprint}, {"Workspace", workspaceForLog(e)}, {"Upstream", e.Upstream}, {"Peer", e.Peer}, {"At", e.Zone}, {"Reason", e.Reason},
 	} {
 		if field.value != "" {
 			line = line.Str(field.name, field.value)
--- a/internal/chutegate/seams.go
+++ b/internal/chutegate/platform.go
@@ -13,8 +13,8 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// Incoming is one request as the front door has read it.
-type Incoming struct {
+// IncomingRequest is one request as the front door has read it.
+type IncomingRequest struct {
 	// ID is the caller's name for this sending.
 	ID     string
 	Host   string
@@ -31,7 +31,7 @@
 	Wait time.Duration
 	// LastEvent is the number of the last event that the caller has of an earlier
 	// sending; -1 if there is none.
-	LastEvent int
+	LastEventID int
 	// Affinity names the part of the prompt that other requests share.
 	Affinity     string
 	PromptTokens int64
@@ -43,28 +43,28 @@
 // Output takes the answer to a caller; its functions are called by one goroutine at a time.
 type Output struct {
 	// Whole writes a whole answer.
-	Whole func(status int, h http.Header, body []byte)
+	WriteAnswer func(status int, h http.Header, body []byte)
 	// Begin writes the head of a stream, Event one event, and End its proper end.
-	Begin func(status int, h http.Header)
-	Event func(event []byte) error
-	End   func()
+	BeginStream func(status int, h http.Header)
+	WriteEvent  func(event []byte) error
+	EndStream   func()
 	// Break ends a stream that has begun in a way that can't be taken for its end.
-	Break func()
+	AbortStream func()
 	// Refuse says why there is no answer.
 	Refuse func(r chuterelay.Refusal)
 }
 
 // Call is one relayed call.
 type Call struct {
-	Incoming  *Incoming
+	Incoming  *IncomingRequest
 	Upstream  chutefleet.Upstream
 	Workspace string
-	Left      time.Duration
+	TimeLeft  time.Duration
 	Inputs    []string
 	// LastEvent is the last event that the caller has; -1 if it has none.
-	LastEvent int
-	Fresh     bool
-	Priority  int
+	LastEventID int
+	Fresh       bool
+	Priority    int
 }
 
 // Answer is an upstream's answer with its marks decoded.
@@ -80,10 +80,10 @@
 	InputGone    bool
 	Misaddressed bool
 	// Altered says that the body is not in the upstream's own bytes.
-	Altered bool
-	Leaving bool
-	Events  bool
-	Load    *chuterelay.Load
+	Altered       bool
+	Leaving       bool
+	IsEventStream bool
+	Load          *chuterelay.Load
 	// Cold is how much longer the upstream says that it stays cold; 0 if it does not say.
 	Cold time.Duration
 	// Limit is the upstream's word on the requests that it takes; nil if it has none.
@@ -118,14 +118,14 @@
 	Limit *chuterelay.Limit
 }
 
-// PartWork is one part as an upstream is asked for it.
-type PartWork struct {
-	Request string
-	Stage   int
-	Index   int
-	Left    time.Duration
-	Key     string
-	Inputs  []string
+// PartRequest is one part as an upstream is asked for it.
+type PartRequest struct {
+	Request  string
+	Stage    int
+	Index    int
+	TimeLeft time.Duration
+	Key      string
+	Inputs   []string
 }
 
 // Upstreams calls upstreams; all fields must be set.
@@ -133,18 +133,18 @@
 	// Exchange hands a call over; its error is a *SendError.
 	Exchange func(ctx context.Context, c Call) (Answer, error)
 	// RunParts runs a batch; its error is a *SendError.
-	RunParts func(ctx context.Context, u chutefleet.Upstream, parts []PartWork) (PartsAnswer, error)
+	RunParts func(ctx context.Context, u chutefleet.Upstream, parts []PartRequest) (PartsAnswer, error)
 	// Free tells an upstream which results nobody needs.
-	Free func(ctx context.Context, u chutefleet.Upstream, refs []string) error
+	FreeResults func(ctx context.Context, u chutefleet.Upstream, refs []string) error
 	// Ended says whether a process that was at an address has ended: the VM is there and
 	// refuses connections. No answer proves nothing.
-	Ended func(ctx context.Context, address string) bool
+	HasEnded func(ctx context.Context, address string) bool
 	// Alive says whether anything accepts connections at an address.
-	Alive func(ctx context.Context, address string) bool
+	AcceptsConnections func(ctx context.Context, address string) bool
 	// Forget closes the unused connections to an address.
-	Forget func(address string)
+	CloseIdle func(address string)
 	// Trim drops connections that were idle for too long.
-	Trim func()
+	TrimIdle func()
 }
 
 // Row is one row of the platform's store.
@@ -167,18 +167,18 @@
 // Store is the platform's store; all fields must be set.
 type Store struct {
 	// Changes waits for changes of a table after a version, up to wait.
-	Changes func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
+	AwaitChanges func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
 	// All reads a whole table.
-	All func(ctx context.Context, table string) (Page, error)
+	ReadAll func(ctx context.Context, table string) (Page, error)
 	// Put and Remove change one row.
 	Put    func(ctx context.Context, table, key string, value []byte) error
 	Remove func(ctx context.Context, table, key string) error
 	// Change writes and deletes rows whatever they are, all or none.
-	Change func(ctx context.Context, table string, put []Row, remove []string) error
+	WriteRows func(ctx context.Context, table string, put []Row, remove []string) error
 	// Replace writes rows of one part of a table, each on the condition that it has the
 	// given version (0: absent), all or none. It returns their new version, or else the
 	// rows as they are.
-	Replace func(ctx context.Context, table, part string, rows []Row) (version uint64, present []Row, err error)
+	ReplaceIfUnchanged func(ctx context.Context, table, part string, rows []Row) (version uint64, present []Row, err error)
 }
 
 // Decoders read the platform's rows; all fields must be set.
@@ -190,7 +190,7 @@
 	Upstream      func(key string, value []byte) (chutefleet.Upstream, error)
 	// UpstreamEssence returns an upstream's entry without what each heartbeat changes;
 	// one that can't be read is returned as it is.
-	UpstreamEssence func(value []byte) []byte
+	UpstreamWithoutHeartbeat func(value []byte) []byte
 }
 
 // Tables names the store's tables.
--- a/internal/chutegate/quarantine_test.go
+++ b/internal/chutegate/quarantine_test.go
@@ -18,24 +18,24 @@
 )
 
 // verdict is a judgement that sets a request aside.
-func verdict(fingerprint string) chutequarantine.Judgement {
+func quarantineJudgement(fingerprint string) chutequarantine.Judgement {
 	return chutequarantine.Judgement{
 		Suspect: chutequarantine.Suspect{Fingerprint: fingerprint, Workspace: "team"}, Verdict: chutequarantine.VerdictQuarantined,
 	}
 }
 
 // judges has a node tell a verdict.
-func (z *zone) judges(node, fingerprint string) {
-	z.nodes[node].performQuarantine(chuterelay.TellJudgement{Judgement: verdict(fingerprint)})
+func (region *testRegion) tellJudgement(node, fingerprint string) {
+	region.nodes[node].performQuarantineEffect(chuterelay.TellJudgement{Judgement: quarantineJudgement(fingerprint)})
 }
 
 // expectHeld waits until all nodes but those named have set a request aside.
-func (z *zone) expectHeld(fingerprint string, but ...string) {
-	for name, n := range z.nodes {
-		if len(but) > 0 && name == but[0] {
+func (region *testRegion) expectQuarantined(fingerprint string, except ...string) {
+	for name, n := range region.nodes {
+		if len(except) > 0 && name == except[0] {
 			continue
 		}
-		until(func() bool {
+		waitUntil(func() bool {
 			held := false
 			n.Query(func(s chutecore.State) { _, held = s.Relay().Quarantine().Holds(fingerprint) })
 
@@ -45,78 +45,78 @@
 }
 
 // until waits for a state that other goroutines bring about.
-func until(done func() bool) {
+func waitUntil(done func() bool) {
 	for !done() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
 // stored says whether the store has a verdict.
-func (z *zone) stored(fingerprint string) bool {
-	z.store.mu.Lock()
-	defer z.store.mu.Unlock()
-	_, ok := z.store.rows["quarantine"][chutequarantine.JudgementPrefix+fingerprint]
+func (region *testRegion) isStored(fingerprint string) bool {
+	region.store.mu.Lock()
+	defer region.store.mu.Unlock()
+	_, ok := region.store.rows["quarantine"][chutequarantine.JudgementPrefix+fingerprint]
 
 	return ok
 }
 
 func TestQuarantineSpreads(t *testing.T) {
-	z := newZones(t, nodesAZone)
-	z.expectConfig(1)
-	teller := z.peers[nodesAZone].Name
+	region := newTestRegion(t, testNodesPerZone)
+	region.expectConfig(1)
+	teller := region.peers[testNodesPerZone].Name
 
 	t.Run("all nodes hear of a verdict, and the store keeps it", func(*testing.T) {
-		z.judges(teller, "a")
-		z.expectHeld("a", teller)
-		until(func() bool { return z.stored("a") })
+		region.tellJudgement(teller, "a")
+		region.expectQuarantined("a", teller)
+		waitUntil(func() bool { return region.isStored("a") })
 	})
 
 	t.Run("they hear of it while the store is away, and the store when it is back", func(*testing.T) {
 		// Without the store there is no other way than from node to node.
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, true)
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, true)
 		}
-		z.judges(teller, "b")
-		z.expectHeld("b", teller)
-		z.Assert(z.stored("b"), qt.IsFalse)
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, false)
+		region.tellJudgement(teller, "b")
+		region.expectQuarantined("b", teller)
+		region.Assert(region.isStored("b"), qt.IsFalse)
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, false)
 		}
-		until(func() bool { return z.stored("b") })
+		waitUntil(func() bool { return region.isStored("b") })
 	})
 
 	t.Run("gossip that was lost while the store is away is repeated", func(*testing.T) {
 		// The calls to all peers fail at first, as on a machine that is held up.
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, true)
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, true)
 		}
-		n := z.nodes[teller]
+		n := region.nodes[teller]
 		listed := n.nodes.Swap(&[]chuterelay.Peer{})
 		before := n.storeCalls[callQuarantine].Load()
-		z.judges(teller, "c")
-		until(func() bool { return n.storeCalls[callQuarantine].Load() > before })
+		region.tellJudgement(teller, "c")
+		waitUntil(func() bool { return n.storeCalls[callQuarantine].Load() > before })
 		n.nodes.Store(listed)
-		z.expectHeld("c", teller)
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, false)
+		region.expectQuarantined("c", teller)
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, false)
 		}
-		until(func() bool { return z.stored("c") })
+		waitUntil(func() bool { return region.isStored("c") })
 	})
 
 	t.Run("a node that starts later knows them", func(t *testing.T) {
 		// All that knew it may be gone by then; the store is what is left.
-		for name := range z.nodes {
-			z.kill(name)
+		for name := range region.nodes {
+			region.kill(name)
 		}
 		l, err := net.Listen("tcp", "127.0.0.1:0")
-		z.Assert(err, qt.IsNil)
-		z.start(t, chuterelay.Peer{Name: "late", Zone: "z0", Region: "r", Address: l.Addr().String(), Power: 1}, l)
-		z.expectHeld("a")
-		z.expectHeld("b")
+		region.Assert(err, qt.IsNil)
+		region.start(t, chuterelay.Peer{Name: "late", Zone: "z0", Region: "r", Address: l.Addr().String(), Power: 1}, l)
+		region.expectQuarantined("a")
+		region.expectQuarantined("b")
 	})
 }
 
-func TestHearing(t *testing.T) {
+func TestReceiveReports(t *testing.T) {
 	c := qt.New(t)
 	var log strings.Builder
 	n := New(Settings{Tables: Tables{Quarantine: "q"}}, clockwork.NewFakeClock(), zerolog.New(&log), Store{}, Decoders{}, Upstreams{})
@@ -128,16 +128,16 @@
 	}
 
 	t.Run("rows that can't be read are logged and left out", func(*testing.T) {
-		n.takeReports("q", rows, 0)
-		heard := (<-n.messages).event.(chuterelay.QuarantineHeard)
+		n.receiveReports("q", rows, 0)
+		heard := (<-n.messages).relayEvent.(chuterelay.QuarantineHeard)
 		c.Assert(heard.Crashes, qt.HasLen, 1)
 		c.Assert(heard.Judgements, qt.HasLen, 1)
 		c.Assert(log.String(), qt.Contains, chutequarantine.CrashPrefix+"2")
 	})
 
 	t.Run("what is heard again, or of another table, is no news", func(*testing.T) {
-		n.takeReports("q", rows, 0)
-		n.takeReports("p", []chutefeed.Row{{Key: chutequarantine.JudgementPrefix + "g", Value: []byte(`{"Fingerprint":"g"}`)}}, 0)
+		n.receiveReports("q", rows, 0)
+		n.receiveReports("p", []chutefeed.Row{{Key: chutequarantine.JudgementPrefix + "g", Value: []byte(`{"Fingerprint":"g"}`)}}, 0)
 		c.Assert(n.messages, qt.HasLen, 0)
 	})
 }
@@ -150,10 +150,10 @@
 	t.Run("it is bounded, and newer rows take the place of older ones", func(t *testing.T) {
 		c := qt.New(t)
 		q := newReportQueue()
-		for i := range maxQueued {
+		for i := range maxQueuedReports {
 			c.Assert(q.add(row(i)), qt.IsTrue)
 		}
-		c.Assert(q.add(row(maxQueued)), qt.IsFalse)
+		c.Assert(q.add(row(maxQueuedReports)), qt.IsFalse)
 		c.Assert(q.add(row(0)), qt.IsTrue)
 	})
 
@@ -161,27 +161,27 @@
 		c := qt.New(t)
 		q := newReportQueue()
 		q.add(row(1))
-		taken := q.next()
+		taken := q.takeBatch()
 		newer := chutefeed.Row{Key: "k1", Value: []byte("newer")}
 		q.add(newer)
-		q.addBack(taken)
-		c.Assert(q.next(), qt.DeepEquals, []chutefeed.Row{newer})
+		q.requeue(taken)
+		c.Assert(q.takeBatch(), qt.DeepEquals, []chutefeed.Row{newer})
 	})
 
 	t.Run("what does not fit into one message is due at once", func(t *testing.T) {
 		c := qt.New(t)
 		q := newReportQueue()
-		for i := range maxReports + 1 {
+		for i := range maxReportsPerBatch + 1 {
 			q.add(row(i))
 		}
-		<-q.due
-		c.Assert(q.next(), qt.HasLen, maxReports)
-		<-q.due
-		c.Assert(q.next(), qt.HasLen, 1)
+		<-q.ready
+		c.Assert(q.takeBatch(), qt.HasLen, maxReportsPerBatch)
+		<-q.ready
+		c.Assert(q.takeBatch(), qt.HasLen, 1)
 	})
 }
 
-func TestOldRows(t *testing.T) {
+func TestRowsToPurge(t *testing.T) {
 	now := time.Unix(1000, 0)
 	crash := func(i int) chutefeed.Row {
 		return chutefeed.Row{Key: fmt.Sprint(chutequarantine.CrashPrefix, i), Version: uint64(i + 1)} //nolint:gosec // a small count
@@ -189,22 +189,22 @@
 
 	t.Run("rows go when they count no more", func(t *testing.T) {
 		c := qt.New(t)
-		first := map[string]time.Time{}
+		firstSeen := map[string]time.Time{}
 		table := chutefeed.NewTable([]chutefeed.Row{crash(0), {Key: chutequarantine.JudgementPrefix + "f"}}, 5)
-		c.Assert(oldRows(table, first, now), qt.HasLen, 0)
-		c.Assert(oldRows(table, first, now.Add(chutequarantine.Life-1)), qt.HasLen, 0)
-		c.Assert(oldRows(table, first, now.Add(chutequarantine.Life)), qt.HasLen, 2)
-		c.Assert(oldRows(chutefeed.NewTable(nil, 6), first, now), qt.HasLen, 0)
-		c.Assert(first, qt.HasLen, 0)
+		c.Assert(rowsToPurge(table, firstSeen, now), qt.HasLen, 0)
+		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.Life-1)), qt.HasLen, 0)
+		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.Life)), qt.HasLen, 2)
+		c.Assert(rowsToPurge(chutefeed.NewTable(nil, 6), firstSeen, now), qt.HasLen, 0)
+		c.Assert(firstSeen, qt.HasLen, 0)
 	})
 
 	t.Run("of too many the oldest crashes go, and no verdict", func(t *testing.T) {
 		c := qt.New(t)
 		rows := []chutefeed.Row{{Key: chutequarantine.JudgementPrefix + "f"}}
-		for i := range maxRows + 1 {
+		for i := range maxQuarantineRows + 1 {
 			rows = append(rows, crash(i))
 		}
-		old := oldRows(chutefeed.NewTable(rows, 5), map[string]time.Time{}, now)
+		old := rowsToPurge(chutefeed.NewTable(rows, 5), map[string]time.Time{}, now)
 		c.Assert(old, qt.ContentEquals, []string{crash(0).Key, crash(1).Key})
 	})
 }
--- a/internal/chutegate/ready_test.go
+++ b/internal/chutegate/ready_test.go
@@ -19,7 +19,7 @@
 	start := func() (*Node, *clockwork.FakeClock) {
 		clock := clockwork.NewFakeClock()
 		n := New(Settings{}, clock, zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
-		close(n.quarantineKnown)
+		close(n.quarantineLoaded)
 
 		return n, clock
 	}
@@ -27,7 +27,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			n.awaitKnown(context.Background(), bound)
+			n.awaitRequiredTables(context.Background(), bound)
 		}()
 
 		return done
@@ -39,10 +39,10 @@
 		done := await(n, 0)
 		c.Assert(clock.BlockUntilContext(context.Background(), 1), qt.IsNil)
 		n.config.Store(&chuteroute.Config{})
-		n.noteKnown()
+		n.signalIfRequiredLoaded()
 		c.Assert(done, qt.HasLen, 0)
-		n.listed.Store(true)
-		n.noteKnown()
+		n.upstreamsLoaded.Store(true)
+		n.signalIfRequiredLoaded()
 		<-done
 	})
 
@@ -57,7 +57,7 @@
 
 	t.Run("a node that knows nothing for longer refuses at once", func(*testing.T) {
 		n, clock := start()
-		clock.Advance(startHold)
+		clock.Advance(startupWait)
 		<-await(n, 0)
 	})
 
@@ -68,10 +68,10 @@
 		clock := clockwork.NewFakeClock()
 		n := New(Settings{}, clock, zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
 		n.config.Store(&chuteroute.Config{})
-		n.listed.Store(true)
+		n.upstreamsLoaded.Store(true)
 		done := await(n, 0)
 		c.Assert(clock.BlockUntilContext(context.Background(), 1), qt.IsNil)
-		clock.Advance(quarantineHold - 1)
+		clock.Advance(quarantineWait - 1)
 		c.Assert(done, qt.HasLen, 0)
 		clock.Advance(1)
 		<-done
--- a/internal/chutegate/zone_test.go
+++ b/internal/chutegate/region_test.go
@@ -21,24 +21,24 @@
 
 // memoryStore is a store without a network that can be away from some nodes.
 type memoryStore struct {
-	mu      sync.Mutex
-	version uint64
-	rows    map[string]map[string]Row
-	changes map[string][]Row
-	changed chan struct{}
-	away    map[string]bool
+	mu          sync.Mutex
+	version     uint64
+	rows        map[string]map[string]Row
+	changes     map[string][]Row
+	changed     chan struct{}
+	unavailable map[string]bool
 	// silent holds back the answers to a node until its channel is closed.
-	silent map[string]chan struct{}
+	blocked map[string]chan struct{}
 	// old is the version up to which a node is told of changes; of all if it is not there.
-	old map[string]uint64
+	staleVersion map[string]uint64
 	// cut is the nodes whose questions, open ones too, are never answered.
-	cut map[string]bool
+	cutOff map[string]bool
 }
 
 func newMemoryStore() *memoryStore {
 	return &memoryStore{
-		rows: map[string]map[string]Row{}, changes: map[string][]Row{}, changed: make(chan struct{}), away: map[string]bool{},
-		silent: map[string]chan struct{}{}, cut: map[string]bool{}, old: map[string]uint64{},
+		rows: map[string]map[string]Row{}, changes: map[string][]Row{}, changed: make(chan struct{}), unavailable: map[string]bool{},
+		blocked: map[string]chan struct{}{}, cutOff: map[string]bool{}, staleVersion: map[string]uint64{},
 	}
 }
 
@@ -60,39 +60,39 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *memoryStore) setAway(node string, away bool) {
+func (s *memoryStore) setUnavailable(node string, unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.away[node] = away
+	s.unavailable[node] = unavailable
 }
 
 // setCut cuts a node off from the store, or ends that.
-func (s *memoryStore) setCut(node string, cut bool) {
+func (s *memoryStore) setCutOff(node string, cutOff bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.cut[node] = cut
+	s.cutOff[node] = cutOff
 }
 
 // oldBy is how many changes an old answer is behind: more than any node that asks.
-const oldBy = 40
+const staleBy = 40
 
 // setOld has the store answer a node with what it held a while ago, or ends that.
-func (s *memoryStore) setOld(node string, old bool) {
+func (s *memoryStore) setStale(node string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	delete(s.old, node)
-	if old {
-		s.old[node] = s.version - min(s.version, oldBy)
+	delete(s.staleVersion, node)
+	if stale {
+		s.staleVersion[node] = s.version - min(s.version, staleBy)
 	}
 }
 
 // lose waits until a question of a node that is cut off is given up.
-func (s *memoryStore) lose(ctx context.Context, node string) error {
+func (s *memoryStore) waitIfCutOff(ctx context.Context, node string) error {
 	s.mu.Lock()
-	cut := s.cut[node]
+	cut := s.cutOff[node]
 	s.mu.Unlock()
 	if !cut {
 		return nil
@@ -103,23 +103,23 @@
 }
 
 // silence holds back all answers to a node, and returns what ends that.
-func (s *memoryStore) silence(node string) func() {
-	held := make(chan struct{})
+func (s *memoryStore) blockAnswers(node string) func() {
+	released := make(chan struct{})
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	s.silent[node] = held
+	s.blocked[node] = released
 
-	return sync.OnceFunc(func() { close(held) })
+	return sync.OnceFunc(func() { close(released) })
 }
 
 // awaitAnswer waits as long as the store is silent to a node.
-func (s *memoryStore) awaitAnswer(node string) {
+func (s *memoryStore) waitIfBlocked(node string) {
 	s.mu.Lock()
-	held := s.silent[node]
+	released := s.blocked[node]
 	s.mu.Unlock()
-	if held != nil {
-		<-held
+	if released != nil {
+		<-released
 	}
 }
 
@@ -128,12 +128,12 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 
-	if s.away[node] {
+	if s.unavailable[node] {
 		return Page{}, nil, context.DeadlineExceeded
 	}
 	page := Page{Version: s.version}
-	if old, ok := s.old[node]; ok {
-		page.Version = old
+	if stale, ok := s.staleVersion[node]; ok {
+		page.Version = stale
 	}
 	for _, row := range s.changes[table] {
 		if row.Version > after && row.Version <= page.Version {
@@ -146,10 +146,10 @@
 
 // changesFor waits for changes of a table as one node asks for them.
 func (s *memoryStore) changesFor(ctx context.Context, node, table string, after uint64, wait time.Duration) (Page, error) {
-	s.awaitAnswer(node)
+	s.waitIfBlocked(node)
 	until := time.After(wait)
 	for {
-		if err := s.lose(ctx, node); err != nil {
+		if err := s.waitIfCutOff(ctx, node); err != nil {
 			return Page{}, err
 		}
 		page, changed, err := s.since(node, table, after)
@@ -159,7 +159,7 @@
 		select {
 		case <-changed:
 		case <-until:
-			return page, s.lose(ctx, node)
+			return page, s.waitIfCutOff(ctx, node)
 		case <-ctx.Done():
 			return Page{}, ctx.Err()
 		}
@@ -168,8 +168,8 @@
 
 // wholeFor reads a whole table for one node.
 func (s *memoryStore) wholeFor(ctx context.Context, node, table string) (Page, error) {
-	s.awaitAnswer(node)
-	if err := s.lose(ctx, node); err != nil {
+	s.waitIfBlocked(node)
+	if err := s.waitIfCutOff(ctx, node); err != nil {
 		return Page{}, err
 	}
 	page, _, err := s.since(node, table, 0)
@@ -188,12 +188,12 @@
 }
 
 // seam returns the store as one node reaches it.
-func (s *memoryStore) seam(node string) Store {
+func (s *memoryStore) storeFor(node string) Store {
 	return Store{
-		Changes: func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
+		AwaitChanges: func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
 			return s.changesFor(ctx, node, table, after, wait)
 		},
-		All: func(ctx context.Context, table string) (Page, error) {
+		ReadAll: func(ctx context.Context, table string) (Page, error) {
 			return s.wholeFor(ctx, node, table)
 		},
 		Put: func(_ context.Context, table, key string, value []byte) error {
@@ -201,7 +201,7 @@
 
 			return nil
 		},
-		Change: func(_ context.Context, table string, put []Row, remove []string) error {
+		WriteRows: func(_ context.Context, table string, put []Row, remove []string) error {
 			return s.change(node, table, put, remove)
 		},
 		Remove: func(_ context.Context, table, key string) error {
@@ -228,7 +228,7 @@
 }
 
 // zone is a region's nodes with their store.
-type zone struct {
+type testRegion struct {
 	*qt.C
 
 	store *memoryStore
@@ -238,31 +238,31 @@
 }
 
 // newZones starts nodes in two zones that know of each other, as after a restart of all.
-func newZones(t *testing.T, size int) *zone {
-	z := &zone{C: qt.New(t), store: newMemoryStore(), nodes: map[string]*Node{}, stops: map[string]func(){}}
+func newTestRegion(t *testing.T, nodesPerZone int) *testRegion {
+	region := &testRegion{C: qt.New(t), store: newMemoryStore(), nodes: map[string]*Node{}, stops: map[string]func(){}}
 	listeners := map[string]net.Listener{}
-	for i := range 2 * size {
+	for i := range 2 * nodesPerZone {
 		name := fmt.Sprint("n", i)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
-		z.Assert(err, qt.IsNil)
+		region.Assert(err, qt.IsNil)
 		listeners[name] = l
 		peer := chuterelay.Peer{Name: name, Zone: fmt.Sprint("z", i%2), Region: "r", Address: l.Addr().String(), Power: 1}
-		z.peers = append(z.peers, peer)
-		z.store.put("peers", name, fmt.Sprintf(`{"Name":%q,"Zone":%q,"Region":"r","Address":%q,"Power":1}`, name, peer.Zone, peer.Address))
+		region.peers = append(region.peers, peer)
+		region.store.put("peers", name, fmt.Sprintf(`{"Name":%q,"Zone":%q,"Region":"r","Address":%q,"Power":1}`, name, peer.Zone, peer.Address))
 	}
-	z.store.put("config", "c", "1")
-	z.store.put("upstreams", "u", "ready")
-	for _, peer := range z.peers {
-		z.start(t, peer, listeners[peer.Name])
+	region.store.put("config", "c", "1")
+	region.store.put("upstreams", "u", "ready")
+	for _, peer := range region.peers {
+		region.start(t, peer, listeners[peer.Name])
 	}
 
-	return z
+	return region
 }
 
-func (z *zone) start(t *testing.T, self chuterelay.Peer, l net.Listener) {
+func (region *testRegion) start(t *testing.T, self chuterelay.Peer, l net.Listener) {
 	n := New(
 		Settings{Self: self, Tables: testTables},
-		clockwork.NewRealClock(), zerolog.Nop(), z.store.seam(self.Name), testDecoders(), Upstreams{Trim: func() {}},
+		clockwork.NewRealClock(), zerolog.Nop(), region.store.storeFor(self.Name), testDecoders(), Upstreams{TrimIdle: func() {}},
 	)
 	server := chuteshare.NewServer(n.Handlers())
 	done := make(chan struct{})
@@ -271,16 +271,16 @@
 		_ = server.Serve(l)
 	}()
 	n.Start()
-	z.nodes[self.Name] = n
+	region.nodes[self.Name] = n
 	var once sync.Once
-	z.stops[self.Name] = func() {
+	region.stops[self.Name] = func() {
 		once.Do(func() {
 			server.Stop()
 			n.Stop()
 			<-done
 		})
 	}
-	t.Cleanup(z.stops[self.Name])
+	t.Cleanup(region.stops[self.Name])
 }
 
 // testTables names the tables of a memoryStore.
@@ -310,15 +310,15 @@
 }
 
 // kill ends a node without a word; its row stays.
-func (z *zone) kill(name string) {
-	z.stops[name]()
-	delete(z.nodes, name)
+func (region *testRegion) kill(name string) {
+	region.stops[name]()
+	delete(region.nodes, name)
 }
 
 // reader returns the node that reads the store for the others.
-func (z *zone) reader() string {
-	for _, p := range z.peers {
-		if _, ok := chuterelay.Source(p, z.peers); !ok {
+func (region *testRegion) reader() string {
+	for _, p := range region.peers {
+		if _, ok := chuterelay.Source(p, region.peers); !ok {
 			return p.Name
 		}
 	}
@@ -327,13 +327,13 @@
 }
 
 // expectConfig waits until all nodes have a configuration in force, and checks that none goes back.
-func (z *zone) expectConfig(version uint64) {
+func (region *testRegion) expectConfig(version uint64) {
 	last := map[string]uint64{}
 	for behind := true; behind; time.Sleep(5 * time.Millisecond) {
 		behind = false
-		for name, n := range z.nodes {
+		for name, n := range region.nodes {
 			cfg, _ := n.Config()
-			z.Assert(cfg.Version >= last[name], qt.IsTrue, qt.Commentf("%s went back from %d to %d", name, last[name], cfg.Version))
+			region.Assert(cfg.Version >= last[name], qt.IsTrue, qt.Commentf("%s went back from %d to %d", name, last[name], cfg.Version))
 			last[name] = cfg.Version
 			behind = behind || cfg.Version < version
 		}
@@ -341,11 +341,11 @@
 }
 
 // expectState waits until all nodes know an upstream's state; empty is none.
-func (z *zone) expectState(key, state string) {
+func (region *testRegion) expectUpstreamState(key, state string) {
 	for behind := true; behind; time.Sleep(5 * time.Millisecond) {
 		behind = false
-		for _, n := range z.nodes {
-			row, _ := n.watches["upstreams"].snapshot().Get(key)
+		for _, n := range region.nodes {
+			row, _ := n.localTables["upstreams"].snapshot().Get(key)
 			behind = behind || string(row.Value) != state
 		}
 	}
@@ -353,61 +353,61 @@
 
 // Twenty nodes a zone make a second level: the first of a zone serves five others, and
 // these the rest.
-const nodesAZone = 20
+const testNodesPerZone = 20
 
 func TestFollowing(t *testing.T) {
-	z := newZones(t, nodesAZone)
+	region := newTestRegion(t, testNodesPerZone)
 
 	t.Run("what the store holds reaches every node", func(*testing.T) {
-		z.expectConfig(1)
-		z.expectState("u", "ready")
-		z.store.put("upstreams", "u", "draining")
-		z.store.put("config", "c", "2")
-		z.expectConfig(2)
-		z.expectState("u", "draining")
+		region.expectConfig(1)
+		region.expectUpstreamState("u", "ready")
+		region.store.put("upstreams", "u", "draining")
+		region.store.put("config", "c", "2")
+		region.expectConfig(2)
+		region.expectUpstreamState("u", "draining")
 	})
 
 	t.Run("the node that reads the store is killed, and what changes then reaches the others", func(*testing.T) {
-		z.kill(z.reader())
-		z.store.put("upstreams", "u", "")
-		z.store.put("config", "c", "3")
-		z.expectConfig(3)
-		z.expectState("u", "")
+		region.kill(region.reader())
+		region.store.put("upstreams", "u", "")
+		region.store.put("config", "c", "3")
+		region.expectConfig(3)
+		region.expectUpstreamState("u", "")
 	})
 
 	t.Run("half of the nodes are killed at once", func(*testing.T) {
-		for i := range nodesAZone {
-			if name := fmt.Sprint("n", 2*i+i%2); z.nodes[name] != nil {
-				z.kill(name)
+		for i := range testNodesPerZone {
+			if name := fmt.Sprint("n", 2*i+i%2); region.nodes[name] != nil {
+				region.kill(name)
 			}
 		}
-		z.store.put("upstreams", "v", "ready")
-		z.store.put("config", "c", "4")
-		z.expectConfig(4)
-		z.expectState("v", "ready")
+		region.store.put("upstreams", "v", "ready")
+		region.store.put("config", "c", "4")
+		region.expectConfig(4)
+		region.expectUpstreamState("v", "ready")
 	})
 
 	t.Run("the store is away from all of a zone, and a key is revoked meanwhile", func(*testing.T) {
 		// The store can turn some nodes away while it serves the others: what they
 		// follow has lost it too.
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, p.Zone == "z0")
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, p.Zone == "z0")
 		}
-		z.store.put("config", "c", "5")
-		z.expectConfig(5)
+		region.store.put("config", "c", "5")
+		region.expectConfig(5)
 	})
 
 	t.Run("the store is back after it was away from all", func(*testing.T) {
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, true)
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, true)
 		}
-		z.store.put("upstreams", "v", "draining")
-		z.store.put("config", "c", "6")
-		for _, p := range z.peers {
-			z.store.setAway(p.Name, false)
+		region.store.put("upstreams", "v", "draining")
+		region.store.put("config", "c", "6")
+		for _, p := range region.peers {
+			region.store.setUnavailable(p.Name, false)
 		}
-		z.expectConfig(6)
-		z.expectState("v", "draining")
+		region.expectConfig(6)
+		region.expectUpstreamState("v", "draining")
 	})
 }
 
@@ -416,20 +416,20 @@
 	// zone, which asks it since what it follows is out of date. A key is revoked. Nodes that
 	// reach the store tell the reader, and the reader tells those who follow it; one that
 	// left it to ask would serve the revoked key until its own question has failed.
-	z := newZones(t, followAbove)
-	z.expectConfig(1)
-	reader := z.reader()
-	first := z.firstOfOtherZone(reader)
-	t.Cleanup(z.store.silence(first))
-	z.store.setAway(reader, true)
-	z.store.put("config", "c", "2")
-	z.expectConfig(2)
+	region := newTestRegion(t, maxDirectReaders)
+	region.expectConfig(1)
+	reader := region.reader()
+	first := region.firstOfOtherZone(reader)
+	t.Cleanup(region.store.blockAnswers(first))
+	region.store.setUnavailable(reader, true)
+	region.store.put("config", "c", "2")
+	region.expectConfig(2)
 }
 
 // firstOfOtherZone returns the node that follows the reader for its zone.
-func (z *zone) firstOfOtherZone(reader string) string {
-	for _, p := range z.peers {
-		source, follows := chuterelay.Source(p, z.peers)
+func (region *testRegion) firstOfOtherZone(reader string) string {
+	for _, p := range region.peers {
+		source, follows := chuterelay.Source(p, region.peers)
 		if follows && source.Name == reader && source.Zone != p.Zone {
 			return p.Name
 		}
--- a/internal/chutegate/reports.go
+++ b/internal/chutegate/reports.go
@@ -11,10 +11,10 @@
 const (
 	// maxReports bounds the rows of one transaction, and maxQueued those that wait for the
 	// store: a node has calls at some tens of upstreams.
-	maxReports = 64
-	maxQueued  = 1024
+	maxReportsPerBatch = 64
+	maxQueuedReports   = 1024
 	// maxSeen bounds the reports that are remembered so as not to be passed on twice.
-	maxSeen = 8192
+	maxKnownReports = 8192
 )
 
 // reportQueue holds rows that are to be told or written; of one key the newest counts.
@@ -22,11 +22,11 @@
 	mu   sync.Mutex
 	rows map[string][]byte
 	// due has an item while there are rows.
-	due chan struct{}
+	ready chan struct{}
 }
 
 func newReportQueue() *reportQueue {
-	return &reportQueue{rows: map[string][]byte{}, due: make(chan struct{}, 1)}
+	return &reportQueue{rows: map[string][]byte{}, ready: make(chan struct{}, 1)}
 }
 
 // add queues a row; false means that too many wait.
@@ -34,17 +34,17 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if _, waits := q.rows[row.Key]; !waits && len(q.rows) >= maxQueued {
+	if _, waits := q.rows[row.Key]; !waits && len(q.rows) >= maxQueuedReports {
 		return false
 	}
 	q.rows[row.Key] = row.Value
-	q.wake()
+	q.signal()
 
 	return true
 }
 
 // addBack queues rows that could not be written, unless there are newer ones by now.
-func (q *reportQueue) addBack(rows []chutefeed.Row) {
+func (q *reportQueue) requeue(rows []chutefeed.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -53,26 +53,26 @@
 			q.rows[row.Key] = row.Value
 		}
 	}
-	q.wake()
+	q.signal()
 }
 
 // wake says that there are rows; the caller holds mu.
-func (q *reportQueue) wake() {
+func (q *reportQueue) signal() {
 	select {
-	case q.due <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
 // next takes out the rows of one message or transaction.
-func (q *reportQueue) next() []chutefeed.Row {
+func (q *reportQueue) takeBatch() []chutefeed.Row {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	var rows []chutefeed.Row
 	for key, value := range q.rows {
-		if len(rows) == maxReports {
-			q.wake()
+		if len(rows) == maxReportsPerBatch {
+			q.signal()
 
 			break
 		}
@@ -84,25 +84,25 @@
 }
 
 // seenReports are the rows that this node has told or heard.
-type seenReports struct {
+type reportSet struct {
 	mu   sync.Mutex
 	sums map[string]uint64
 }
 
 // isNews notes a row and says whether it is new here.
-func (w *seenReports) isNews(row chutefeed.Row) bool {
+func (s *reportSet) addIfNew(row chutefeed.Row) bool {
 	sum := xxhash.Sum64(row.Value)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if known, ok := w.sums[row.Key]; ok && known == sum {
+	if known, ok := s.sums[row.Key]; ok && known == sum {
 		return false
 	}
-	if w.sums == nil || len(w.sums) >= maxSeen {
+	if s.sums == nil || len(s.sums) >= maxKnownReports {
 		// Forgotten reports are passed on once more at most.
-		w.sums = map[string]uint64{}
+		s.sums = map[string]uint64{}
 	}
-	w.sums[row.Key] = sum
+	s.sums[row.Key] = sum
 
 	return true
 }
--- a/internal/chutegate/send.go
+++ b/internal/chutegate/send.go
@@ -16,68 +16,68 @@
 const (
 	// maxAnswer bounds a whole answer that is held in memory until it is known to
 	// be complete.
-	maxAnswer = 16 << 20
+	maxAnswerBytes = 16 << 20
 	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
+	maxEventBytes = 1 << 20
 )
 
 // startSend begins a call beside the loop.
 func (n *Node) startSend(s chuterelay.Send) {
-	e, ok := n.entries[s.Handle]
+	req, ok := n.requests[s.Handle]
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithCancel(n.running)
-	e.attempts[s.Attempt] = cancel
+	ctx, cancel := context.WithCancel(n.runContext)
+	req.attempts[s.Attempt] = cancel
 	n.spawn(func(context.Context) {
 		defer cancel()
 		// A cancelled attempt may still hand an event over, while the next one asks to go on
 		// after the last that the caller has.
-		e.turn.Lock()
-		defer e.turn.Unlock()
-		a := &attempt{node: n, entry: e, send: s}
+		req.streamLock.Lock()
+		defer req.streamLock.Unlock()
+		a := &attempt{node: n, request: req, send: s}
 		ended := a.run(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		n.sendWith(ended, func() { a.file() })
+		n.sendEventWith(ended, func() { a.keepAnswer() })
 	})
 }
 
 // attempt is one call under way.
 type attempt struct {
-	node  *Node
-	entry *entry
-	send  chuterelay.Send
-	whole *whole
+	node     *Node
+	request  *request
+	send     chuterelay.Send
+	buffered *bufferedAnswer
 	// heard is when the upstream last showed a sign of life.
-	heard atomic.Pointer[time.Time]
+	lastActivity atomic.Pointer[time.Time]
 }
 
 // file keeps a whole answer for Deliver; the loop calls it.
-func (a *attempt) file() {
-	if a.whole != nil {
-		a.entry.answers[a.send.Attempt] = *a.whole
+func (a *attempt) keepAnswer() {
+	if a.buffered != nil {
+		a.request.bufferedAnswers[a.send.Attempt] = *a.buffered
 	}
 }
 
 func (a *attempt) run(ctx context.Context) chuterelay.AttemptEnded {
 	s := a.send
-	ctx, release := a.guarded(ctx)
+	ctx, release := a.withLivenessCheck(ctx)
 	defer release()
 	ended := chuterelay.AttemptEnded{Handle: s.Handle, Attempt: s.Attempt}
 	answer, err := a.node.upstreams.Exchange(ctx, Call{
-		Incoming: a.entry.incoming, Upstream: s.Upstream, Workspace: s.Workspace,
-		Left: s.Deadline.Sub(a.node.Now()), Inputs: s.Inputs, LastEvent: a.entry.lastEvent,
+		Incoming: a.request.incoming, Upstream: s.Upstream, Workspace: s.Workspace,
+		TimeLeft: s.Deadline.Sub(a.node.Now()), Inputs: s.Inputs, LastEventID: a.request.lastEventID,
 		Fresh: s.Fresh, Priority: s.Priority,
 	})
 	if err != nil {
-		ended = a.broken(ctx, ended, err)
+		ended = a.withFailure(ctx, ended, err)
 		ended.Silent = ended.End == chuterelay.EndSilent || asSendError(err).Silent
 
 		return ended
 	}
-	a.touch()
+	a.recordActivity()
 	defer func() { _ = answer.Body.Close() }()
 	ended.Leaving = answer.Leaving
 	ended.Load, ended.Cold, ended.Limit = answer.Load, answer.Cold, answer.Limit
@@ -85,27 +85,27 @@
 		// Another incarnation has the address; its limit is none of this one.
 		ended.Limit = nil
 	}
-	if s.Streams && answer.Status == http.StatusOK && answer.Signed && answer.Events && !answer.Altered {
+	if s.Streams && answer.Status == http.StatusOK && answer.Signed && answer.IsEventStream && !answer.Altered {
 		// Load and limit were told with the first event; by its end they are old.
 		ended.Load, ended.Limit = nil, nil
-		ended.Events, err = a.pass(ctx, answer)
+		ended.Events, err = a.relayStream(ctx, answer)
 		ended.End = chuterelay.EndAnswered
 		if err != nil {
-			return a.broken(ctx, ended, err)
+			return a.withFailure(ctx, ended, err)
 		}
 
 		return ended
 	}
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
-		err = errTooLong
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
+	if err == nil && len(body) > maxAnswerBytes {
+		err = errAnswerTooLong
 	}
 	if err != nil {
-		return a.broken(ctx, ended, err)
+		return a.withFailure(ctx, ended, err)
 	}
-	ended.End, ended.HasAnswer = judge(answer, a.entry.begun)
+	ended.End, ended.HasAnswer = classifyAnswer(answer, a.request.headSent)
 	if ended.HasAnswer {
-		a.whole = &whole{status: answer.Status, header: answer.Header, body: body}
+		a.buffered = &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}
 	}
 	if ended.End != chuterelay.EndAnswered {
 		ended.Detail = "status " + strconv.Itoa(answer.Status)
@@ -115,21 +115,21 @@
 }
 
 // broken says what a failed exchange means, and whether the upstream has ended with it.
-func (a *attempt) broken(ctx context.Context, ended chuterelay.AttemptEnded, err error) chuterelay.AttemptEnded {
-	ended.End = a.endOf(ctx, err)
+func (a *attempt) withFailure(ctx context.Context, ended chuterelay.AttemptEnded, err error) chuterelay.AttemptEnded {
+	ended.End = a.classifyError(ctx, err)
 	ended.Detail = err.Error()
-	ended.UpstreamEnded = ended.End == chuterelay.EndBroken && a.node.upstreamEnded(ctx, a.send.Upstream)
+	ended.UpstreamEnded = ended.End == chuterelay.EndBroken && a.node.upstreamHasEnded(ctx, a.send.Upstream)
 
 	return ended
 }
 
 var (
-	errTooLong = errors.New("the answer is longer than this node holds")
-	errOrder   = errors.New("an event is missing, doubled or cut off")
+	errAnswerTooLong = errors.New("the answer is longer than this node holds")
+	errEventOrder    = errors.New("an event is missing, doubled or cut off")
 )
 
 // judge says what a whole answer means, and whether it may be passed on.
-func judge(answer Answer, begun bool) (chuterelay.AttemptEnd, bool) {
+func classifyAnswer(answer Answer, headSent bool) (chuterelay.AttemptEnd, bool) {
 	switch {
 	case answer.InputGone:
 		return chuterelay.EndInputGone, false
@@ -137,7 +137,7 @@
 		return chuterelay.EndMisaddressed, false
 	case answer.NotRun:
 		return chuterelay.EndRefused, false
-	case begun:
+	case headSent:
 		// The caller has the beginning of a stream; nothing but its events can follow.
 		return chuterelay.EndErrored, false
 	case answer.Status < http.StatusBadRequest:
@@ -147,7 +147,7 @@
 		}
 
 		return chuterelay.EndAnswered, true
-	case promisesNotRun(answer.Status):
+	case impliesNotRun(answer.Status):
 		return chuterelay.EndErrored, false
 	case answer.Status >= http.StatusInternalServerError:
 		return chuterelay.EndErrored, true
@@ -158,7 +158,7 @@
 
 // promisesNotRun lists the statuses from which callers conclude that nothing ran.
 // Passed on from an upstream that does not say so itself they could be false.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
 		http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -169,8 +169,8 @@
 }
 
 // pass hands a stream's events to the caller as they come, and returns how many.
-func (a *attempt) pass(ctx context.Context, answer Answer) (int, error) {
-	reader := newEventReader(bufio.NewReader(answer.Body), maxEvent)
+func (a *attempt) relayStream(ctx context.Context, answer Answer) (int, error) {
+	reader := newEventReader(bufio.NewReader(answer.Body), maxEventBytes)
 	count := 0
 	for {
 		event, err := reader.next()
@@ -180,22 +180,22 @@
 		if err != nil {
 			return count, err
 		}
-		a.touch()
-		if a.entry.lastEvent >= 0 && event.id != a.entry.lastEvent+1 {
-			return count, errOrder
+		a.recordActivity()
+		if a.request.lastEventID >= 0 && event.id != a.request.lastEventID+1 {
+			return count, errEventOrder
 		}
-		if !a.entry.begun {
-			if !a.move(ctx, move{begin: true, status: answer.Status, header: answer.Header}) {
+		if !a.request.headSent {
+			if !a.emit(ctx, streamPiece{isHead: true, status: answer.Status, header: answer.Header}) {
 				return count, ctx.Err()
 			}
-			a.entry.begun = true
+			a.request.headSent = true
 		}
-		if !a.move(ctx, move{event: event.bytes}) {
+		if !a.emit(ctx, streamPiece{event: event.bytes}) {
 			return count, ctx.Err()
 		}
-		a.entry.lastEvent = event.id
+		a.request.lastEventID = event.id
 		if count == 0 {
-			a.node.send(chuterelay.AttemptBegan{
+			a.node.sendEvent(chuterelay.AttemptBegan{
 				Handle: a.send.Handle, Attempt: a.send.Attempt, Load: answer.Load, Limit: answer.Limit,
 			})
 		}
@@ -204,14 +204,14 @@
 }
 
 // move hands one piece to the caller's goroutine; false means that the attempt was cancelled.
-func (a *attempt) move(ctx context.Context, m move) bool {
+func (a *attempt) emit(ctx context.Context, piece streamPiece) bool {
 	if ctx.Err() != nil {
 		// Where both are possible a select takes either: the head of an answer could be
 		// dropped and the event behind it handed over.
 		return false
 	}
 	select {
-	case a.entry.moves <- m:
+	case a.request.pieces <- piece:
 		return true
 	case <-ctx.Done():
 		return false
@@ -219,10 +219,10 @@
 }
 
 // endOf says what a failed exchange means.
-func (a *attempt) endOf(ctx context.Context, err error) chuterelay.AttemptEnd {
+func (a *attempt) classifyError(ctx context.Context, err error) chuterelay.AttemptEnd {
 	failure := asSendError(err)
 	switch {
-	case errors.Is(context.Cause(ctx), errGone):
+	case errors.Is(context.Cause(ctx), errUpstreamGone):
 		return chuterelay.EndSilent
 	case failure.Unsent:
 		return chuterelay.EndUnreachable
--- a/internal/chutegate/send_test.go
+++ b/internal/chutegate/send_test.go
@@ -18,13 +18,13 @@
 
 // eventsAnswer is a stream of some events.
 func eventsAnswer(text string) Answer {
-	return Answer{Status: http.StatusOK, Signed: true, Events: true, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
+	return Answer{Status: http.StatusOK, Signed: true, IsEventStream: true, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
 
-func newEntry() *entry {
-	return &entry{
-		incoming: &Incoming{}, moves: make(chan move, eventBacklog), final: make(chan final, 1),
-		attempts: map[uint64]context.CancelFunc{}, answers: map[uint64]whole{}, lastEvent: -1,
+func newTestRequest() *request {
+	return &request{
+		incoming: &IncomingRequest{}, pieces: make(chan streamPiece, maxQueuedPieces), result: make(chan requestResult, 1),
+		attempts: map[uint64]context.CancelFunc{}, bufferedAnswers: map[uint64]bufferedAnswer{}, lastEventID: -1,
 	}
 }
 
@@ -38,12 +38,12 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		for range 100 {
-			e := newEntry()
-			a := &attempt{node: n, entry: e}
-			_, err := a.pass(ctx, eventsAnswer("id: 0\ndata: a\n\n"))
+			req := newTestRequest()
+			a := &attempt{node: n, request: req}
+			_, err := a.relayStream(ctx, eventsAnswer("id: 0\ndata: a\n\n"))
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(e.moves, qt.HasLen, 0)
-			c.Assert(e.begun, qt.IsFalse)
+			c.Assert(req.pieces, qt.HasLen, 0)
+			c.Assert(req.headSent, qt.IsFalse)
 		}
 	})
 
@@ -66,7 +66,7 @@
 			},
 		})
 		defer n.Stop()
-		n.entries[1] = newEntry()
+		n.requests[1] = newTestRequest()
 		n.startSend(chuterelay.Send{Handle: 1, Attempt: 1, Priority: 1})
 		<-begun
 		n.cancelSend(chuterelay.CancelSend{Handle: 1, Attempt: 1})
--- a/internal/chutegate/serve.go
+++ b/internal/chutegate/serve.go
@@ -15,84 +15,84 @@
 const (
 	// unreadyRetry is when a caller may come back to a node that knows no
 	// configuration yet; by then the balancer has other nodes for it.
-	unreadyRetry = 300 * time.Millisecond
+	unreadyRetryAfter = 300 * time.Millisecond
 	// eventBacklog is how many events of a stream may wait for a slow caller before
 	// the upstream waits too.
-	eventBacklog = 16
+	maxQueuedPieces = 16
 )
 
 // entry is what the node keeps of a request in flight.
-type entry struct {
-	incoming *Incoming
+type request struct {
+	incoming *IncomingRequest
 	deadline clockwork.Timer
 	// moves carries what the caller gets, in order.
-	moves chan move
+	pieces chan streamPiece
 	// final carries the end; it has room for it.
-	final chan final
+	result chan requestResult
 	// attempts are the calls under way, answers the whole answers that may be passed on.
-	attempts map[uint64]context.CancelFunc
-	answers  map[uint64]whole
+	attempts        map[uint64]context.CancelFunc
+	bufferedAnswers map[uint64]bufferedAnswer
 	// turn is held by the attempt that hands over events, lastEvent is the last of them;
 	// begun says that the head of the answer was handed over.
-	turn      sync.Mutex
-	lastEvent int
-	begun     bool
+	streamLock  sync.Mutex
+	lastEventID int
+	headSent    bool
 }
 
 // move is one piece of a stream for the caller.
-type move struct {
-	begin  bool
+type streamPiece struct {
+	isHead bool
 	status int
 	header http.Header
 	event  []byte
 }
 
 // whole is an upstream's whole answer.
-type whole struct {
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
 // final is the end of a request.
-type final struct {
+type requestResult struct {
 	refusal *chuterelay.Refusal
-	answer  *whole
+	answer  *bufferedAnswer
 	// dropped says that nobody waits for an answer.
-	dropped bool
+	abandoned bool
 }
 
 // Serve relays one request and returns once its answer is out or its caller is gone.
-func (n *Node) Serve(ctx context.Context, in *Incoming, out Output) {
-	n.awaitKnown(ctx, in.Wait/3)
+func (n *Node) Serve(ctx context.Context, in *IncomingRequest, out Output) {
+	n.awaitRequiredTables(ctx, in.Wait/3)
 	cfg, ok := n.Config()
 	if !ok {
 		out.Refuse(chuterelay.Refusal{
-			Kind: chuterelay.RefusedNotRun, Reason: "this VM has no configuration yet", RetryAfter: unreadyRetry,
+			Kind: chuterelay.RefusedNotRun, Reason: "this VM has no configuration yet", RetryAfter: unreadyRetryAfter,
 		})
 
 		return
 	}
-	submission, refusal := n.submission(cfg, in)
+	submission, refusal := n.newSubmission(cfg, in)
 	if refusal != nil {
-		*refusal = n.unlessStale(*refusal)
+		*refusal = n.asRetryableIfStale(*refusal)
 		n.logRefusal(in, *refusal, cfg)
 		out.Refuse(*refusal)
 
 		return
 	}
-	e := &entry{
-		incoming: in, moves: make(chan move, eventBacklog), final: make(chan final, 1),
-		attempts: map[uint64]context.CancelFunc{}, answers: map[uint64]whole{}, lastEvent: in.LastEvent,
+	req := &request{
+		incoming: in, pieces: make(chan streamPiece, maxQueuedPieces), result: make(chan requestResult, 1),
+		attempts: map[uint64]context.CancelFunc{}, bufferedAnswers: map[uint64]bufferedAnswer{}, lastEventID: in.LastEventID,
 	}
-	n.sendWith(chuterelay.Arrived{Submission: submission}, func() { n.entries[submission.Handle] = e })
-	n.await(ctx, submission.Handle, e, out)
+	n.sendEventWith(chuterelay.Arrived{Submission: submission}, func() { n.requests[submission.Handle] = req })
+	n.writeAnswer(ctx, submission.Handle, req, out)
 }
 
 // unlessStale returns the refusal of a request that the configuration does not allow, or a
 // refusal that sends the caller to another node if a newer configuration may allow it by now.
-func (n *Node) unlessStale(r chuterelay.Refusal) chuterelay.Refusal {
-	age, known := n.watches[n.settings.Tables.Config].age(n.Now())
+func (n *Node) asRetryableIfStale(r chuterelay.Refusal) chuterelay.Refusal {
+	age, known := n.localTables[n.settings.Tables.Config].age(n.Now())
 	if known && age <= n.settings.ConfigWithin {
 		return r
 	}
@@ -100,12 +100,12 @@
 
 	return chuterelay.Refusal{
 		Kind: chuterelay.RefusedNotRun, Reason: r.Reason + ", but this VM has lost the store and may lack a newer configuration",
-		RetryAfter: unreadyRetry,
+		RetryAfter: unreadyRetryAfter,
 	}
 }
 
 // submission works out what the reducer needs to know, or why the request is refused.
-func (n *Node) submission(cfg chuteroute.Config, in *Incoming) (chuterelay.Submission, *chuterelay.Refusal) {
+func (n *Node) newSubmission(cfg chuteroute.Config, in *IncomingRequest) (chuterelay.Submission, *chuterelay.Refusal) {
 	pipeline, ok := cfg.Match(in.Host, in.Path)
 	if !ok {
 		return chuterelay.Submission{}, &chuterelay.Refusal{
@@ -124,52 +124,52 @@
 	}
 
 	return chuterelay.Submission{
-		Handle: n.handles.Add(1), ID: in.ID, Fingerprint: fingerprint(workspace.Name, in), Pipeline: pipeline, Workspace: workspace,
+		Handle: n.lastHandle.Add(1), ID: in.ID, Fingerprint: requestFingerprint(workspace.Name, in), Pipeline: pipeline, Workspace: workspace,
 		Affinity: in.Affinity, PromptTokens: in.PromptTokens, Parts: in.Parts, PartKey: in.PartKey,
 		Deadline: n.Now().Add(wait), Wait: in.Wait,
 	}, nil
 }
 
 // await writes what the caller gets until the end.
-func (n *Node) await(ctx context.Context, handle uint64, e *entry, out Output) {
-	left := ctx.Done()
-	begun := false
-	leave := func() {
-		left = nil
-		n.send(chuterelay.CallerLeft{Handle: handle})
+func (n *Node) writeAnswer(ctx context.Context, handle uint64, req *request, out Output) {
+	callerGone := ctx.Done()
+	headWritten := false
+	abandon := func() {
+		callerGone = nil
+		n.sendEvent(chuterelay.CallerLeft{Handle: handle})
 	}
-	write := func(m move) {
-		if left == nil {
+	write := func(piece streamPiece) {
+		if callerGone == nil {
 			return
 		}
-		if m.begin {
-			begun = true
-			out.Begin(m.status, m.header)
+		if piece.isHead {
+			headWritten = true
+			out.BeginStream(piece.status, piece.header)
 
 			return
 		}
-		if err := out.Event(m.event); err != nil {
-			leave()
+		if err := out.WriteEvent(piece.event); err != nil {
+			abandon()
 		}
 	}
 	for {
 		select {
-		case m := <-e.moves:
-			write(m)
-		case f := <-e.final:
+		case piece := <-req.pieces:
+			write(piece)
+		case result := <-req.result:
 			// The last events were handed over ahead of the end.
-			for len(e.moves) > 0 {
-				write(<-e.moves)
+			for len(req.pieces) > 0 {
+				write(<-req.pieces)
 			}
-			finish(f, begun, out)
+			writeResult(result, headWritten, out)
 
 			return
-		case <-left:
-			leave()
-		case <-n.running.Done():
-			finish(final{refusal: &chuterelay.Refusal{
+		case <-callerGone:
+			abandon()
+		case <-n.runContext.Done():
+			writeResult(requestResult{refusal: &chuterelay.Refusal{
 				Kind: chuterelay.RefusedFailed, Reason: "this VM is shutting down",
-			}}, begun, out)
+			}}, headWritten, out)
 
 			return
 		}
@@ -177,17 +177,17 @@
 }
 
 // finish writes the end of an answer.
-func finish(f final, begun bool, out Output) {
+func writeResult(result requestResult, headWritten bool, out Output) {
 	switch {
-	case f.dropped && begun, f.refusal != nil && begun:
-		out.Break()
-	case f.dropped:
-	case f.refusal != nil:
-		out.Refuse(*f.refusal)
-	case begun:
-		out.End()
-	case f.answer != nil:
-		out.Whole(f.answer.status, f.answer.header, f.answer.body)
+	case result.abandoned && headWritten, result.refusal != nil && headWritten:
+		out.AbortStream()
+	case result.abandoned:
+	case result.refusal != nil:
+		out.Refuse(*result.refusal)
+	case headWritten:
+		out.EndStream()
+	case result.answer != nil:
+		out.WriteAnswer(result.answer.status, result.answer.header, result.answer.body)
 	default:
 		out.Refuse(chuterelay.Refusal{Kind: chuterelay.RefusedFailed, Reason: "the answer was lost"})
 	}
@@ -195,10 +195,10 @@
 
 // logRefusal logs a refusal with the configuration that it follows from: its version, how long
 // ago it was known to be the newest one, and the node that it was heard from, empty for the store.
-func (n *Node) logRefusal(in *Incoming, r chuterelay.Refusal, cfg chuteroute.Config) {
-	w := n.watches[n.settings.Tables.Config]
-	age, _ := w.age(n.Now())
+func (n *Node) logRefusal(in *IncomingRequest, r chuterelay.Refusal, cfg chuteroute.Config) {
+	local := n.localTables[n.settings.Tables.Config]
+	age, _ := local.age(n.Now())
 	n.log.Info().Str("Request", in.ID).Str("Kind", string(r.Kind)).Str("Reason", r.Reason).
 		Dur("RetryAfter", r.RetryAfter).Uint64("Version", cfg.Version).Int64("ConfigAgeMs", age.Milliseconds()).
-		Str("From", w.heard()).Msg("refused")
+		Str("From", local.lastChangeFrom()).Msg("refused")
 }
--- a/internal/chutegate/share.go
+++ b/internal/chutegate/source.go
@@ -13,33 +13,33 @@
 // reading the store. Each node that reads makes about three calls a second. Of so few
 // nodes as this each one reads: a lost reader would leave half of them out of date until
 // that shows.
-const followAbove = 3
+const maxDirectReaders = 3
 
 // lostNodes remembers nodes that were lost as sources of the store's tables.
-type lostNodes struct {
+type lostNodeSet struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 	// changes counts what was added.
-	changes int
+	additions int
 }
 
 // lostFor is how long a lost node is passed over: long enough for another to be
 // in use, and a row of a VM that is gone for good costs little.
-const lostFor = 10 * time.Second
+const lostNodePeriod = 10 * time.Second
 
-func (l *lostNodes) add(name string, now time.Time) {
+func (l *lostNodeSet) add(name string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
 	if l.until == nil {
 		l.until = map[string]time.Time{}
 	}
-	l.until[name] = now.Add(lostFor)
-	l.changes++
+	l.until[name] = now.Add(lostNodePeriod)
+	l.additions++
 }
 
 // at returns the nodes that are lost by now, how long that is true, and the number of changes.
-func (l *lostNodes) at(now time.Time) (lost map[string]bool, until time.Time, changes int) {
+func (l *lostNodeSet) lostAt(now time.Time) (lost map[string]bool, until time.Time, additions int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 
@@ -57,20 +57,20 @@
 		}
 	}
 
-	return lost, until, l.changes
+	return lost, until, l.additions
 }
 
 // sourceChoice is the last answer of source and what it was made from. The question is
 // asked with each sign of life, several times a second, and an answer takes sorting
 // hundreds of nodes.
 type sourceChoice struct {
-	nodes    *[]chuterelay.Peer
-	lost     int
-	draining bool
+	nodes         *[]chuterelay.Peer
+	lostAdditions int
+	draining      bool
 	// until is when a lost node counts again; zero if none is lost.
-	until  time.Time
-	source chuterelay.Peer
-	found  bool
+	validUntil time.Time
+	source     chuterelay.Peer
+	found      bool
 }
 
 // source returns the node that this one takes the store's tables from; false if it
@@ -78,47 +78,47 @@
 func (n *Node) source() (chuterelay.Peer, bool) {
 	now := n.Now()
 	nodes := n.nodes.Load()
-	lost, until, changes := n.lost.at(now)
+	lost, until, additions := n.lostSources.lostAt(now)
 	draining := n.draining.Load()
-	if c := n.chosen.Load(); c != nil && c.nodes == nodes && c.lost == changes && c.draining == draining &&
-		(c.until.IsZero() || now.Before(c.until)) {
-		return c.source, c.found
+	if choice := n.cachedSource.Load(); choice != nil && choice.nodes == nodes && choice.lostAdditions == additions && choice.draining == draining &&
+		(choice.validUntil.IsZero() || now.Before(choice.validUntil)) {
+		return choice.source, choice.found
 	}
-	c := &sourceChoice{nodes: nodes, lost: changes, draining: draining, until: until}
-	if all := n.listedPeers(); len(all) > followAbove {
+	choice := &sourceChoice{nodes: nodes, lostAdditions: additions, draining: draining, validUntil: until}
+	if all := n.listedPeers(); len(all) > maxDirectReaders {
 		live := slices.DeleteFunc(all, func(p chuterelay.Peer) bool {
 			// A node that is shutting down is on no list, and reads for nobody.
 			return lost[p.Name] || draining && p.Name == n.settings.Self.Name
 		})
-		c.source, c.found = chuterelay.Source(n.settings.Self, live)
+		choice.source, choice.found = chuterelay.Source(n.settings.Self, live)
 	}
-	n.chosen.Store(c)
+	n.cachedSource.Store(choice)
 
-	return c.source, c.found
+	return choice.source, choice.found
 }
 
 // Handlers answers other nodes.
 func (n *Node) Handlers() chuteshare.Handlers {
 	return chuteshare.Handlers{
 		Now:      n.Now,
-		NewToken: func() uint64 { return n.handles.Add(1) },
-		OnJob:    n.takeJob,
+		NewToken: func() uint64 { return n.lastHandle.Add(1) },
+		OnJob:    n.acceptJob,
 		OnDrop: func(token uint64) {
-			n.sendWith(chuterelay.JobDropped{Token: token}, func() { delete(n.jobs, token) })
+			n.sendEventWith(chuterelay.JobDropped{Token: token}, func() { delete(n.jobUpdates, token) })
 		},
-		OnTable: n.shareTable,
-		OnTell:  n.takeReports,
+		OnTable: n.tableForFollower,
+		OnTell:  n.receiveReports,
 	}
 }
 
 // shareTable hands a table as known to another node; one of no such name was never read.
-func (n *Node) shareTable(name string) chuteshare.Followed {
-	w, ok := n.watches[name]
+func (n *Node) tableForFollower(name string) chuteshare.Followed {
+	local, ok := n.localTables[name]
 	if !ok {
 		return chuteshare.Followed{}
 	}
 
-	followed := w.followed(n.Now())
+	followed := local.stateForFollowers(n.Now())
 	followed.Leaving = n.draining.Load()
 
 	return followed
--- a/internal/chutegate/storecalls.go
+++ b/internal/chutegate/storecalls.go
@@ -42,8 +42,8 @@
 }
 
 // addGauges adds the counts to the metrics.
-func (c storeCalls) addGauges(add func(name string, read func() float64)) {
+func (c storeCalls) addGauges(addGauge func(name string, read func() float64)) {
 	for reason, count := range c {
-		add(fmt.Sprintf("store_calls_total{reason=%q}", reason), func() float64 { return float64(count.Load()) })
+		addGauge(fmt.Sprintf("store_calls_total{reason=%q}", reason), func() float64 { return float64(count.Load()) })
 	}
 }
