--- a/internal/chutegate/budget.go
+++ b/internal/chutegate/budget.go
@@ -6,10 +6,10 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// budgetFields writes a retry budget into a log line.
+// budgetFields encodes a retry budget as fields of a log line.
 type budgetFields chuterelay.BudgetView
 
-// MarshalZerologObject writes the fields.
+// MarshalZerologObject adds the fields to e.
 func (b budgetFields) MarshalZerologObject(e *zerolog.Event) {
 	e.Int("First", b.First).Int("Spent", b.Spent).Int("Left", b.Left).Int("Slack", b.Slack).Int("Nodes", b.Nodes)
 }
--- a/internal/chutegate/clock_test.go
+++ b/internal/chutegate/clock_test.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 )
 
-// jumpingClock tells a time of day that jumps, and steady spans.
+// jumpingClock has a time of day that jumps and a monotonic clock that does not.
 type jumpingClock struct {
 	clockwork.Clock
 
@@ -21,9 +21,9 @@
 }
 
 func TestClockJumps(t *testing.T) {
-	// The time of day jumps by seconds, back and forth. Nothing that is decided may
-	// see it: a jump forward would end requests early and set upstreams free, one
-	// back would hold requests past their time.
+	// Guards against decisions that depend on the time of day, which jumps by seconds in both
+	// directions. A jump forward would end requests early and release upstreams early; a jump back
+	// would keep requests past their deadline.
 	c := qt.New(t)
 	steady := clockwork.NewFakeClock()
 	clock := &jumpingClock{Clock: steady}
--- a/internal/chutegate/cluster_sim_test.go
+++ b/internal/chutegate/cluster_sim_test.go
@@ -25,8 +25,8 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// simNet connects nodes in memory. A connection between two nodes that are cut off from each
-// other carries nothing any more, and a new one does not come about.
+// simNetwork connects nodes in memory. A connection between two nodes that are cut off from each
+// other stops carrying data, and new ones can't be opened.
 type simNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*bufconn.Listener
@@ -42,7 +42,7 @@
 	return s.isCut != nil && s.isCut(from, to)
 }
 
-// setCut says from now on which nodes are cut off from each other.
+// setCut sets the function that reports which nodes are cut off from each other.
 func (s *simNetwork) setCut(cutOff func(from, to string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,8 @@
 	}
 }
 
-// simConn is a connection that goes silent for good once its ends are cut off.
+// simConn is a connection that carries no data any more once its two ends have been cut off from
+// each other.
 type simConn struct {
 	net.Conn
 
@@ -94,13 +95,13 @@
 	return c.Conn.Write(p)
 }
 
-// simLog keeps what one node logs, each line with the simulated time.
+// simLog holds what one node logs, each line with the simulated time.
 type simLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-// Write takes one line.
+// Write appends one line.
 func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,10 +111,10 @@
 	return len(line), nil
 }
 
-// lastLines is how many lines of a node's log a failure shows.
+// shownLogLines is the number of lines of a node's log that a failure shows.
 const shownLogLines = 30
 
-// last returns the last lines.
+// tail returns the last lines.
 func (l *simLog) tail() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,7 @@
 	return strings.Join(l.lines[max(0, len(l.lines)-shownLogLines):], "")
 }
 
-// simFleet is nodes on a simulated clock with their store.
+// simCluster is a set of nodes on a simulated clock, with their store.
 type simCluster struct {
 	*qt.C
 
@@ -133,7 +134,8 @@
 	logs    map[string]*simLog
 }
 
-// newSimFleet starts nodes in zones of one region, all at once; it is called in a bubble of synctest.
+// newSimCluster starts all nodes at once, in several zones of one region. It has to be called in a
+// synctest bubble.
 func newSimCluster(t *testing.T, size, zones int) *simCluster {
 	f := &simCluster{
 		C: qt.New(t), network: &simNetwork{listeners: map[string]*bufconn.Listener{}}, store: newMemoryStore(),
@@ -183,10 +185,11 @@
 	}
 }
 
-// applyBound is how long a configuration may take to be in force.
+// applyBound is the time within which a configuration has to be in force.
 const applyBound = 2 * time.Second
 
-// expectInTime changes the configuration and checks that each of the nodes has it within the bound.
+// expectAppliedInTime changes the configuration and checks that each of the nodes has it in force
+// within applyBound.
 func (f *simCluster) expectAppliedInTime(version uint64, nodes []chuterelay.Peer) {
 	f.store.put("config", "c", fmt.Sprint(version))
 	began := time.Now()
@@ -201,8 +204,8 @@
 	}
 }
 
-// Guards against a node that decides by an old configuration because the node that it follows
-// has lost the store, although it reaches the store itself.
+// Guards against a node that decides by an old configuration because its source has lost the store,
+// although the node itself can reach the store.
 func TestStoreLostByReaders(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -219,8 +222,8 @@
 	}
 }
 
-// cutSome cuts the node that reads for the others off from the store, and some others, and
-// returns those that are left.
+// cutOffReaders cuts the nodes that read the store for others off from it, and some of the other
+// nodes. It returns the nodes that can still reach the store.
 func (f *simCluster) cutOffReaders(random *rand.Rand) []chuterelay.Peer {
 	var reachable []chuterelay.Peer
 	for _, p := range f.peers {
--- a/internal/chutegate/evacuate_test.go
+++ b/internal/chutegate/evacuate_test.go
@@ -14,7 +14,7 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// evacuatedAt returns the zones that a node takes for evacuated.
+// evacuatedZonesAt returns the zones that a node considers evacuated.
 func evacuatedZonesAt(n *Node) []string {
 	var zones []string
 	n.Query(func(s chutecore.State) { zones = s.Relay().Fleet().EvacuatedZones() })
@@ -22,7 +22,7 @@
 	return zones
 }
 
-// expectEvacuated waits until all nodes take exactly these zones for evacuated.
+// expectEvacuated waits until all nodes consider exactly these zones evacuated.
 func (region *testRegion) expectEvacuated(zones ...string) {
 	for behind := true; behind; time.Sleep(5 * time.Millisecond) {
 		behind = false
@@ -32,7 +32,7 @@
 	}
 }
 
-// restart starts a killed node again, at another address.
+// restart starts a killed node again at another address.
 func (region *testRegion) restart(t *testing.T, name string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	region.Assert(err, qt.IsNil)
@@ -46,7 +46,7 @@
 	region := newTestRegion(t, testNodesPerZone)
 	region.expectConfig(1)
 
-	t.Run("a zone is evacuated, and every node knows", func(*testing.T) {
+	t.Run("a zone is evacuated, and every node knows of it", func(*testing.T) {
 		region.store.put("config", "evacuate/z1", "{}")
 		region.expectEvacuated("z1")
 	})
@@ -57,9 +57,9 @@
 		region.expectEvacuated("z1", "z2")
 	})
 
-	t.Run("a node that starts meanwhile knows of it before it serves anybody", func(*testing.T) {
-		// It has no configuration until then, and answers 503. One that took the
-		// configuration first would send its first requests into the zone.
+	t.Run("a node that starts then knows of both zones before it is ready", func(*testing.T) {
+		// Until then the node has no configuration and answers 503. A node that applied the
+		// configuration first would send its first requests into the evacuated zone.
 		region.kill("n5")
 		region.restart(t, "n5")
 		n := region.nodes["n5"]
@@ -69,7 +69,7 @@
 		region.Assert(evacuatedZonesAt(n), qt.DeepEquals, []string{"z1", "z2"})
 	})
 
-	t.Run("the store is away from all of a zone, which hears from the others", func(*testing.T) {
+	t.Run("the store is unavailable to a whole zone, which learns of a change from the other zone", func(*testing.T) {
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, p.Zone == "z0")
 		}
@@ -77,7 +77,7 @@
 		region.expectEvacuated("z2")
 	})
 
-	t.Run("the store is back after it was away from all", func(*testing.T) {
+	t.Run("the store is back after it was unavailable to all nodes", func(*testing.T) {
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, true)
 		}
@@ -88,7 +88,7 @@
 		region.expectEvacuated("z2", "z3")
 	})
 
-	t.Run("one that comes and goes at once leaves nothing behind, with a configuration in between", func(*testing.T) {
+	t.Run("an evacuation that ends at once leaves nothing behind, with a configuration in between", func(*testing.T) {
 		region.store.put("config", "evacuate/z4", "{}")
 		region.store.put("config", "c", "2")
 		region.store.put("config", "evacuate/z4", "")
@@ -100,7 +100,7 @@
 func TestEvacuatedZones(t *testing.T) {
 	table := func(rows ...chutefeed.Row) chutefeed.Table { return chutefeed.NewTable(rows, 9) }
 
-	t.Run("a configuration that can't be read does not hide an evacuation", func(t *testing.T) {
+	t.Run("a configuration that can't be decoded does not hide an evacuation", func(t *testing.T) {
 		c := qt.New(t)
 		n, _ := newTestNode(Decoders{EvacuatedZone: evacuatedZone})
 		c.Assert(n.evacuatedZones(table(
@@ -108,9 +108,9 @@
 		)), qt.DeepEquals, []string{"z1"})
 	})
 
-	t.Run("the history that told of an evacuation is gone, and the whole table tells of it", func(t *testing.T) {
-		// The row is written while the node hears nothing, then the store drops its
-		// history. What follows is a whole read, as of a later version.
+	t.Run("the history with an evacuation was dropped, and the whole table contains it", func(t *testing.T) {
+		// The row is written while the node receives nothing, and the store then drops its history.
+		// The node's next read is one of the whole table, at a later version.
 		c := qt.New(t)
 		n, _ := newTestNode(Decoders{EvacuatedZone: evacuatedZone})
 		local := newLocalTable("config", minStaleAfter)
--- a/internal/chutegate/events.go
+++ b/internal/chutegate/events.go
@@ -8,13 +8,13 @@
 	"strconv"
 )
 
-// event is one server-sent event with its bytes as they came.
+// streamEvent is one server-sent event with its bytes as received.
 type streamEvent struct {
 	id    int
 	bytes []byte
 }
 
-// eventReader splits a stream of server-sent events.
+// eventReader splits a stream into server-sent events.
 type eventReader struct {
 	stream   *bufio.Reader
 	maxBytes int
@@ -24,13 +24,14 @@
 	return &eventReader{stream: r, maxBytes: maxBytes}
 }
 
-// errNoEvent is a piece of a stream that is not an event with a number.
+// errMalformedEvent reports a part of a stream that is not an event with a numeric id, or an event
+// longer than the limit.
 var errMalformedEvent = errors.New("the stream holds something that is not an event")
 
-// next returns the next whole event; io.EOF means that the stream ended after one.
+// next returns the next complete event. io.EOF means that the stream ended after a complete event.
 //
-// An upstream that dies may stop in the middle of an event. What is left then is
-// never passed on, so that a resumed stream goes on at the border of an event.
+// An upstream that crashes may stop in the middle of an event. The incomplete event is never passed
+// on, so that a resumed stream continues at an event boundary.
 func (e *eventReader) next() (streamEvent, error) {
 	next := streamEvent{id: -1}
 	for {
--- a/internal/chutegate/faults_sim_test.go
+++ b/internal/chutegate/faults_sim_test.go
@@ -16,13 +16,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// simTrouble is what a series of troubles consists of.
+// faultKind is the kind of the faults in one run.
 type faultKind string
 
 const (
-	// troubleStore cuts nodes off from the store, troubleLinks nodes from all others,
-	// troubleKills ends nodes without a word, and troubleOld has the store answer some nodes with
-	// what it held a while ago.
+	// faultStore cuts nodes off from the store, faultLinks cuts them off from all other nodes,
+	// faultKills kills nodes without notice, and faultStale makes the store answer some nodes with
+	// an earlier state.
 	faultStore faultKind = "store"
 	faultLinks faultKind = "links"
 	faultKills faultKind = "kills"
@@ -31,21 +31,22 @@
 )
 
 const (
-	// touchAfter is how long after the end of a trouble of its own a node is in touch again.
+	// recoveryTime is how long after the end of its own fault a node is in touch with the store
+	// again.
 	recoveryTime = 3 * time.Second
-	// judgeEvery is how often nodes are looked at.
+	// checkInterval is the time between two checks of all nodes.
 	checkInterval = 50 * time.Millisecond
-	// spells is the number of troubles in one run.
+	// faultsPerRun is the number of faults in one run.
 	faultsPerRun = 6
 )
 
 var (
-	simSize  = flag.Int("sim.size", 0, "nodes of one more run of TestFreshThroughTroubles")
-	simSeeds = flag.Int("sim.seeds", 2, "seeds of each run of TestFreshThroughTroubles")
+	simSize  = flag.Int("sim.size", 0, "number of nodes in TestFreshThroughTroubles, in place of the default sizes")
+	simSeeds = flag.Int("sim.seeds", 2, "number of seeds for each size and fault in TestFreshThroughTroubles")
 )
 
 // Guards against nodes in touch with the store that decide by a configuration or a list of
-// upstreams that is older than the bound, while nodes that they follow are in trouble.
+// upstreams older than the bound, while nodes that they follow are affected by a fault.
 func TestFreshThroughTroubles(t *testing.T) {
 	sizes := []int{8, 20}
 	if *simSize > 0 {
@@ -66,18 +67,20 @@
 	}
 }
 
-// series is a run of troubles beside changes that never cease.
+// faultRun is a run of faults, during which configuration and upstreams keep changing.
 type faultRun struct {
 	*simCluster
 
 	random  *rand.Rand
 	version uint64
-	// acked are when the versions were confirmed, last the newest one that a node had.
+	// confirmedAt is when each version was confirmed, lastVersion the newest version that each node
+	// had.
 	confirmedAt map[uint64]time.Time
 	lastVersion map[string]uint64
-	// touch is from when on a node is in touch; in the far future for one in trouble.
+	// checkedFrom is when each node is in touch with the store again; far in the future for a node
+	// that a fault affects now.
 	checkedFrom map[string]time.Time
-	// worst is the longest time that a node in touch lacked a version.
+	// longestLag is the longest time that a node in touch lacked a version.
 	longestLag time.Duration
 }
 
@@ -103,8 +106,8 @@
 	s.Logf("longest time without a confirmed version: %v", s.longestLag)
 }
 
-// hit brings trouble to some nodes, the one that reads for the others more often than not, and
-// returns what ends it.
+// injectFault starts a fault at some nodes, more often than not including the one that reads the
+// store for the others. It returns a function that ends the fault.
 func (s *faultRun) injectFault(fault faultKind) (endFault func()) {
 	affected := map[string]bool{}
 	for _, p := range s.peers {
@@ -134,11 +137,11 @@
 	}
 }
 
-// set begins or ends the trouble of one node.
+// setFault starts or ends the fault of one node.
 func (s *faultRun) setFault(fault faultKind, name string, on bool) {
 	switch {
 	case fault == faultStore || fault == faultLinks:
-		// A node without links does not reach the store either.
+		// A node that is cut off from the other nodes does not reach the store either.
 		s.store.setCutOff(name, on)
 	case fault == faultStale:
 		s.store.setStale(name, on)
@@ -155,7 +158,8 @@
 	}
 }
 
-// changeFor changes configuration and upstreams every now and then, and judges the nodes meanwhile.
+// changeAndCheck changes configuration and upstreams at random times, and checks the nodes in
+// between.
 func (s *faultRun) changeAndCheck(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(checkInterval) {
 		if s.random.IntN(6) == 0 {
@@ -172,7 +176,8 @@
 	}
 }
 
-// judge checks that a node decides by nothing older than the bound, and never goes back.
+// checkNode checks that a node decides by nothing older than the bound, and that its configuration
+// never goes back.
 func (s *faultRun) checkNode(name string, n *Node) {
 	cfg, _ := n.Config()
 	s.Assert(cfg.Version >= s.lastVersion[name], qt.IsTrue, qt.Commentf("%s went back from %d to %d", name, s.lastVersion[name], cfg.Version))
--- a/internal/chutegate/fingerprint.go
+++ b/internal/chutegate/fingerprint.go
@@ -6,21 +6,21 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes is the length of a fingerprint. Half of a SHA-256 leaves nobody a way
-// to make a request whose fingerprint is that of another caller's.
+// fingerprintBytes is the length of a fingerprint in bytes. With half of a SHA-256 nobody can
+// construct a request that has the fingerprint of another caller's request.
 const fingerprintBytes = 16
 
-// fingerprint names what an upstream is asked to run: two sendings have the same one if
-// and only if workspace, host, method, path with query, and body are the same.
+// requestFingerprint identifies what an upstream is asked to run: two requests have the same
+// fingerprint if and only if workspace, host, method, path with query, and body are the same.
 //
-// The caller's own id of a sending is left out, since each sending has another. The
-// workspace is in it, so that no caller can have another workspace's requests refused. A
-// body of 1 MB takes 2 ms on a machine that is busy otherwise (BenchmarkFingerprint).
+// The caller's request ID is left out because it differs each time a request is sent. The workspace
+// is included so that no caller can get another workspace's requests refused. A body of 1 MB takes
+// 2 ms on a machine that is otherwise busy (BenchmarkFingerprint).
 func requestFingerprint(workspace string, in *IncomingRequest) string {
 	h := sha256.New()
 	for _, field := range []string{workspace, in.Host, in.Method, in.URI} {
-		// The length keeps one field's end from being read as the next one's beginning.
-		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field)))) // a hash takes everything
+		// The length prefix keeps the end of one field from being read as the start of the next.
+		_, _ = h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field)))) // Write of a hash never fails
 		_, _ = h.Write([]byte(field))
 	}
 	_, _ = h.Write(in.Body)
--- a/internal/chutegate/fingerprint_test.go
+++ b/internal/chutegate/fingerprint_test.go
@@ -15,13 +15,13 @@
 	}
 	same := sending(func(*IncomingRequest) {})
 
-	t.Run("another sending of the same request has the same", func(t *testing.T) {
+	t.Run("the same request sent again has the same fingerprint", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(sending(func(in *IncomingRequest) { in.ID = "2" }), qt.Equals, same)
 		c.Assert(same, qt.HasLen, 2*fingerprintBytes)
 	})
 
-	t.Run("whatever an upstream would run otherwise has another", func(t *testing.T) {
+	t.Run("each change of what an upstream runs changes the fingerprint", func(t *testing.T) {
 		c := qt.New(t)
 		for _, change := range []func(in *IncomingRequest){
 			func(in *IncomingRequest) { in.Host = "g" },
@@ -35,7 +35,7 @@
 		}
 	})
 
-	t.Run("another workspace's has another", func(t *testing.T) {
+	t.Run("another workspace has another fingerprint", func(t *testing.T) {
 		c := qt.New(t)
 		in := &IncomingRequest{Host: "h", Method: "POST", URI: "/a/b?c=1", Body: []byte("text")}
 		c.Assert(requestFingerprint("other", in), qt.Not(qt.Equals), requestFingerprint("team", in))
--- a/internal/chutegate/follow.go
+++ b/internal/chutegate/follow.go
@@ -10,38 +10,39 @@
 )
 
 const (
-	// directSpell is how long a node reads the store itself after the ones that it
-	// followed were lost, and cutOffSpell the same for the first node of a zone that has
-	// lost another zone's: the zone may be cut off, which lasts seconds, and each try to
-	// follow again leaves it out of date for another second.
+	// directReadPeriod is how long a node reads the store itself after it lost the sources that it
+	// followed. crossZoneDirectReadPeriod is the same for the first node of a zone, after it lost a
+	// source in another zone: its own zone may be cut off, which lasts seconds, and each new
+	// attempt to follow leaves the node out of date for another second.
 	directReadPeriod          = 3 * time.Second
 	crossZoneDirectReadPeriod = 8 * time.Second
-	// lostInRow is the number of nodes of its zone that a node loses one after the other
-	// before it takes the fault to be its own and reads the store itself: one more
-	// costs it up to half a second.
+	// maxLostInRow is the number of sources in its own zone that a node loses in a row before it
+	// assumes that the fault is its own and reads the store itself. Each further attempt costs it
+	// up to half a second.
 	maxLostInRow = 2
 )
 
-// followEnd says why a node stopped following another.
+// stopReason is why a node stopped following its source.
 type stopReason string
 
 const (
-	// followNobody: this node reads the store, there is nobody to follow.
+	// stopNoSource: this node has no source and reads the store itself.
 	stopNoSource stopReason = "Nobody"
-	// followCutOff: the node of another zone that was followed is gone or silent.
+	// stopOtherZoneSourceLost: the source, a node of another zone, is gone or silent.
 	stopOtherZoneSourceLost stopReason = "CutOff"
-	// followOther: another node is to be followed by now.
+	// stopSourceChanged: another node is the source now, or this node is stopping.
 	stopSourceChanged stopReason = "Other"
-	// followLost: the node that was followed is gone or silent.
+	// stopSourceLost: the source, a node of the same zone, is gone or silent.
 	stopSourceLost stopReason = "Lost"
 )
 
-// follow takes a table from the node's source until that fails.
+// followSource copies a table from this node's source until that fails or another node becomes the
+// source.
 //
-// While the source is out of date, refresh asks the store and this goes on: another node may
-// reach the store and tell the source. One that stopped to ask, and whose question met a
-// silent store, had keys that were revoked in force for a second longer, and so had all that
-// follow it.
+// While the source is out of date, refreshIfStale asks the store and following continues, because
+// another node may reach the store and tell the source. A node that stopped following to ask, and
+// got no answer from the store, kept revoked keys in force for a second longer, and so did all
+// nodes that follow it.
 func (n *Node) followSource(ctx context.Context, local *localTable, onChange func()) stopReason {
 	source, ok := n.source()
 	if !ok {
--- a/internal/chutegate/follow_test.go
+++ b/internal/chutegate/follow_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestSettling(t *testing.T) {
-	t.Run("rows are looked at once more when the list has settled", func(t *testing.T) {
-		// The store was away and is back. An upstream leaves a second later, and is
-		// kept for its entry could have run out. No row changes after that.
+	t.Run("rows are looked at once more after the list has settled", func(t *testing.T) {
+		// The store was unavailable and is back. An upstream leaves a second later, and is kept
+		// because its entry might only have expired. No row changes after that.
 		c := qt.New(t)
 		now := time.Unix(1000, 0)
 		local := newLocalTable("t", minStaleAfter)
@@ -29,9 +29,9 @@
 }
 
 func TestDrainingNodeKeepsSource(t *testing.T) {
-	// All nodes of a zone are restarted in turn. Those that shut down read all tables
-	// themselves otherwise, and each restart changes one: on 82 nodes that made a
-	// thousand calls in ten seconds.
+	// Guards against nodes that read all tables from the store while they shut down. If all nodes
+	// of a zone restart in turn, each restart changes a table: on 82 nodes that made a thousand
+	// calls in ten seconds.
 	c := qt.New(t)
 	n := New(Settings{Self: chuterelay.Peer{Name: "n0", Zone: "z"}}, clockwork.NewFakeClock(), zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
 	var all []chuterelay.Peer
@@ -58,15 +58,15 @@
 func TestQuestions(t *testing.T) {
 	start := time.Unix(1000, 0)
 
-	t.Run("a table that was up to date a moment ago is not asked for", func(t *testing.T) {
-		// The reader loses one answer of the store. All its followers would read for
-		// themselves, three tables each, although it is up to date a moment later.
+	t.Run("a table that was up to date a moment ago is not read", func(t *testing.T) {
+		// The node that reads the store loses one answer. If that made its followers read the
+		// store, each would read three tables, although the tables are up to date a moment later.
 		c := qt.New(t)
 		c.Assert(readFailures{}.nextReadAt(start, minStaleAfter), qt.Equals, start.Add(minStaleAfter))
 		c.Assert(readFailures{}.nextReadAt(start.Add(minStaleAfter-1), minStaleAfter).After(start.Add(minStaleAfter)), qt.IsTrue)
 	})
 
-	t.Run("while the store is away from all, each asks ever more seldom", func(t *testing.T) {
+	t.Run("while the store is unavailable, the pause between reads grows", func(t *testing.T) {
 		c := qt.New(t)
 		failures, now, asked := readFailures{}, start, 0
 		for now.Before(start.Add(12 * time.Second)) {
@@ -79,7 +79,7 @@
 		c.Assert(asked, qt.Equals, 6)
 	})
 
-	t.Run("an answer makes the next lack start anew", func(t *testing.T) {
+	t.Run("an answer resets the pause", func(t *testing.T) {
 		c := qt.New(t)
 		failures := readFailures{}.withResult(false, start).withResult(false, start)
 		c.Assert(failures.nextReadAt(start.Add(time.Second), minStaleAfter), qt.Equals, start.Add(time.Second+minStaleAfter))
--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// backlog is how many events may wait for the loop before their senders do.
+	// maxQueuedMessages is the number of messages that may wait for the event loop before their
+	// senders block.
 	maxQueuedMessages = 4096
-	// trimEvery is how often idle connections are looked over.
+	// trimInterval is the time between two checks for idle upstream connections.
 	trimInterval = 2 * time.Second
 )
 
-// Settings are what a node knows from its start.
+// Settings are the parameters that a node is started with.
 type Settings struct {
 	Self    chuterelay.Peer
 	Retries chutebudget.Settings
-	// ConfigWithin is the time within which a confirmed configuration has to be in force at
-	// every node, LeaveWithin that within which a leaving upstream gets no more calls;
-	// DefaultWithin if they are 0.
+	// ConfigWithin is the time within which a confirmed configuration has to be in force at every
+	// node. LeaveWithin is the time within which a leaving upstream stops getting calls. 0 stands
+	// for DefaultWithin.
 	ConfigWithin time.Duration
 	LeaveWithin  time.Duration
-	// ColdFactor is how many times the stated rate a cold upstream may get; 0 counts as 1.
+	// ColdFactor is the multiple of its stated rate that a cold upstream may get; 0 counts as 1.
 	ColdFactor float64
 	Tables     Tables
 	Seed       uint64
 }
 
-// Node relays requests.
+// Node relays requests to upstreams.
 type Node struct {
 	settings  Settings
 	clock     clockwork.Clock
@@ -56,36 +57,37 @@
 	queries  chan func(chutecore.State)
 	config   atomic.Pointer[chuteroute.Config]
 	nodes    atomic.Pointer[[]chuterelay.Peer]
-	// nodesKnown is closed when the list of nodes was read once.
+	// nodesLoaded is closed once the list of nodes has been read.
 	nodesLoaded     chan struct{}
 	nodesLoadedOnce sync.Once
-	// known is closed when configuration and upstreams are both known.
+	// requiredLoaded is closed once both the configuration and the list of upstreams are known.
 	requiredLoaded     chan struct{}
 	requiredLoadedOnce sync.Once
-	// quarantineKnown is closed when the crashes and judgements were read once.
+	// quarantineLoaded is closed once the crashes and judgements have been read.
 	quarantineLoaded chan struct{}
 	lostSources      lostNodeSet
 	cachedSource     atomic.Pointer[sourceChoice]
-	// storeFailedAt is when the store last failed this node; nil if it never did.
+	// storeFailedAt is when a read of the store last failed; nil if none has.
 	storeFailedAt atomic.Pointer[time.Time]
-	// listed says that the list of upstreams was read once.
+	// upstreamsLoaded is true once the list of upstreams has been read.
 	upstreamsLoaded atomic.Bool
 	draining        atomic.Bool
 	lastHandle      atomic.Uint64
-	// unreadable counts the entries of upstreams that have become unreadable.
+	// unreadableEntries counts the upstream entries that have become undecodable.
 	unreadableEntries atomic.Int64
-	// staleRefusals counts the requests that a configuration did not allow which may not be
-	// the newest one.
+	// staleRefusals counts requests that the configuration does not allow, at a time when it may
+	// not have been the newest one.
 	staleRefusals atomic.Int64
-	// evacuated counts the zones that are evacuated.
+	// evacuatedZoneCount is the number of zones that are evacuated now.
 	evacuatedZoneCount atomic.Int64
 	storeCalls         storeCalls
-	// toGossip and toStore are the crashes and judgements that wait to be told to other nodes
-	// and to be written to the store, heard those that were told or heard.
+	// gossipQueue holds the crashes, judgements and limits to be sent to other nodes, storeQueue
+	// those to be written to the store. knownReports holds those that this node has already sent or
+	// received.
 	gossipQueue  *reportQueue
 	storeQueue   *reportQueue
 	knownReports reportSet
-	// crashes counts the ends of upstreams that this node saw.
+	// upstreamCrashes counts the upstreams that this node saw end while they ran requests.
 	upstreamCrashes atomic.Int64
 	localTables     map[string]*localTable
 
@@ -93,23 +95,23 @@
 	cancelRun  context.CancelFunc
 	background sync.WaitGroup
 
-	// The loop alone uses what follows.
+	// The fields below are accessed by the event loop only.
 	state               chutecore.State
 	requests            map[uint64]*request
 	partsRequestCancels map[uint64]context.CancelFunc
 	jobUpdates          map[uint64]chan<- chuteshare.Update
 }
 
-// message is one event with what the loop does ahead of it.
+// message is one event, with a function that the event loop runs before it handles the event.
 type message struct {
 	at         time.Time
 	relayEvent chuterelay.Event
 	prepare    func()
-	// ledger is set in place of event for what concerns cost counters.
+	// ledgerEvent is set instead of relayEvent for events about cost counters.
 	ledgerEvent chutecore.Event
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node that does nothing until Start is called.
 func New(
 	settings Settings, clock clockwork.Clock, log zerolog.Logger, store Store, decode Decoders, upstreams Upstreams,
 ) *Node {
@@ -152,16 +154,16 @@
 	return n
 }
 
-// epoch is where the node's own time begins. It has no meaning outside: the time
-// of day may jump by seconds, and nothing that is decided may jump with it.
+// epoch is the start of the node's own time and has no meaning outside the node. The time of day
+// can jump by seconds, and no decision may depend on such a jump.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// Now is the node's own time: it moves as the steady clock does.
+// Now returns the node's own time, which advances with the monotonic clock.
 func (n *Node) Now() time.Time {
 	return epoch.Add(n.clock.Since(n.started))
 }
 
-// Start begins the loop and the watches.
+// Start starts the event loop and the background tasks.
 func (n *Node) Start() {
 	n.spawn(n.runEventLoop)
 	n.spawn(n.watchConfig)
@@ -175,21 +177,24 @@
 	n.spawn(n.flushLedger)
 }
 
-// Stop ends everything; requests in flight are broken off.
+// Stop ends all background tasks and cuts off requests in flight.
 func (n *Node) Stop() {
 	n.cancelRun()
 	n.background.Wait()
 	n.peers.Close()
 }
 
-// removeTimeout bounds the removal of the own row; peers find out by asking otherwise.
+// removeRowTimeout bounds the removal of this node's row. If the row stays, peers find out by a
+// failed call that the node is gone.
 const removeRowTimeout = 2 * time.Second
 
-// Drain makes the node unready and hands its duties over; requests in flight go on.
-// The channel it returns is closed when the own row is removed, or not to be waited for.
+// Drain makes the node unready and hands its duties over; requests in flight continue. The returned
+// channel is closed when this node's row is removed, or when the removal has failed, has timed out
+// or was started by an earlier call.
 //
-// The store may take the call and never answer. A node that waited for it went on
-// taking requests in until the end of its grace time, and cut the last ones off.
+// The removal is not waited for here because the store may accept the call and never answer: a node
+// that waited went on accepting requests until the end of its grace period, and cut the last ones
+// off.
 func (n *Node) Drain() <-chan struct{} {
 	removed := make(chan struct{})
 	if n.draining.Swap(true) {
@@ -205,19 +210,19 @@
 		defer cancel()
 		n.storeCalls.add(callRegister)
 		if err := n.store.Remove(ctx, n.settings.Tables.Peers, n.settings.Self.Name); err != nil {
-			n.log.Warn().Err(err).Msg("the own row could not be removed; peers find out by asking")
+			n.log.Warn().Err(err).Msg("this node's row could not be removed; peers find out by failed calls")
 		}
 	})
 
 	return removed
 }
 
-// RefuseUnsent refuses all requests that no upstream has got yet.
+// RefuseUnsent refuses all requests that have not been sent to an upstream yet.
 func (n *Node) RefuseUnsent() {
 	n.sendEvent(chuterelay.DrainEnding{})
 }
 
-// Draining says whether the node was asked to end.
+// Draining reports whether Drain was called.
 func (n *Node) Draining() bool {
 	return n.draining.Load()
 }
@@ -232,7 +237,8 @@
 	return *cfg, true
 }
 
-// Query runs f on the state between two events.
+// Query runs f on the state between two events. It returns without running f if the node has
+// stopped.
 func (n *Node) Query(f func(chutecore.State)) {
 	done := make(chan struct{})
 	select {
@@ -250,7 +256,7 @@
 	}()
 }
 
-// send hands an event to the loop.
+// sendEvent queues an event for the event loop.
 func (n *Node) sendEvent(event chuterelay.Event) {
 	n.sendEventWith(event, nil)
 }
@@ -262,7 +268,7 @@
 	}
 }
 
-// loop takes events one at a time until the node stops.
+// runEventLoop handles messages and queries one at a time until the node stops.
 func (n *Node) runEventLoop(ctx context.Context) {
 	for {
 		select {
@@ -276,7 +282,7 @@
 	}
 }
 
-// take reduces one event and carries its effects out.
+// handleMessage reduces one event and performs its effects.
 func (n *Node) handleMessage(msg message) {
 	if msg.prepare != nil {
 		msg.prepare()
@@ -290,7 +296,7 @@
 	n.performEffects(effects)
 }
 
-// performAll carries effects out in order.
+// performEffects performs effects in order.
 func (n *Node) performEffects(effects []chutecore.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -302,12 +308,12 @@
 	}
 }
 
-// after sends an event at a time of the node's clock.
+// sendEventAt sends an event at the given time of the node's own clock.
 func (n *Node) sendEventAt(at time.Time, event chuterelay.Event) clockwork.Timer {
 	return n.clock.AfterFunc(at.Sub(n.Now()), func() { n.sendEvent(event) })
 }
 
-// pause waits, and says whether the node still runs.
+// sleep waits for d, and returns false if ctx ended first.
 func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -317,7 +323,7 @@
 	}
 }
 
-// trim drops idle connections from time to time.
+// trimConnections closes upstream connections that have been idle for too long, every trimInterval.
 func (n *Node) trimConnections(ctx context.Context) {
 	for n.sleep(ctx, trimInterval) {
 		n.upstreams.TrimIdle()
--- a/internal/chutegate/ledger.go
+++ b/internal/chutegate/ledger.go
@@ -12,40 +12,43 @@
 )
 
 const (
-	// flushEvery is the time between two writes of a node's cost counters, one call
-	// each. What a node has counted since is lost if it is killed; a planned end
-	// writes first.
+	// ledgerFlushInterval is the time between two writes of a node's cost counters; each write is
+	// one call. A node that is killed loses what it has counted since the last write; a planned
+	// shutdown writes first.
 	ledgerFlushInterval = 20 * time.Second
-	// flushTimeout bounds one write.
+	// ledgerWriteTimeout bounds one write.
 	ledgerWriteTimeout = time.Second
 )
 
-// ledgerParts is the number of parts that the rows of cost counters are spread over. A
-// part does its transactions one after another, some 200 a second. Each part of a
-// thousand nodes' rows has one in three hundred milliseconds.
+// ledgerPartitions is the number of partitions that the rows of cost counters are spread over. A
+// partition runs its transactions one after another, some 200 a second. With the rows of a thousand
+// nodes each partition gets one transaction every 300 ms.
 const ledgerPartitions = 16
 
-// ledgerPart returns the part of the table that a node writes its rows to.
+// ledgerPartition returns the partition of the table that a node writes its rows to.
 func ledgerPartition(node string) string {
 	return strconv.FormatUint(xxhash.Sum64String(node)%ledgerPartitions, 10)
 }
 
-// firstFlush returns when a node first writes its counters; the seed differs for each start.
+// firstFlushDelay returns the time from a node's start to its first write of cost counters. The
+// seed is different at each start.
 func firstFlushDelay(seed uint64) time.Duration {
-	return time.Duration(seed % uint64(ledgerFlushInterval)) //nolint:gosec // below flushEvery
+	return time.Duration(seed % uint64(ledgerFlushInterval)) //nolint:gosec // below ledgerFlushInterval
 }
 
-// flushLedger writes the cost counters from time to time, each node at a time of its own.
+// flushLedger writes the cost counters every ledgerFlushInterval, at a different time for each
+// node.
 //
-// Nodes that start together would write together: of hundreds the store turns many away
-// with 429, and their counters are lost if they are killed before the next time.
+// Nodes that start together would otherwise write together. The store answers many of hundreds of
+// simultaneous writes with 429, and those nodes' counters are lost if they are killed before their
+// next write.
 func (n *Node) flushLedger(ctx context.Context) {
 	for delay := firstFlushDelay(n.settings.Seed); n.sleep(ctx, delay); delay = ledgerFlushInterval {
 		n.sendLedgerEvent(chutecore.LedgerDue{Stamp: n.stampNow()})
 	}
 }
 
-// FlushLedger writes all cost counters; the last write of a process that ends.
+// FlushLedger writes all cost counters; it is the last write of a process that shuts down.
 func (n *Node) FlushLedger() {
 	n.sendLedgerEvent(chutecore.LedgerDue{Stamp: n.stampNow(), AtExit: true})
 }
@@ -54,7 +57,7 @@
 	return chutecore.Stamp{At: n.Now()}
 }
 
-// sendLedger hands the loop an event about cost counters.
+// sendLedgerEvent queues an event about cost counters for the event loop.
 func (n *Node) sendLedgerEvent(event chutecore.Event) {
 	select {
 	case n.messages <- message{ledgerEvent: event}:
@@ -62,8 +65,9 @@
 	}
 }
 
-// writeLedger writes rows on the condition of their versions. A write whose answer
-// is lost is settled by the next one, which meets the row as it is then.
+// writeLedger writes rows on the condition that their versions are unchanged. If the answer to a
+// write is lost, the next write finds the row as it is and thereby settles whether the first one
+// took effect.
 func (n *Node) writeLedger(ctx context.Context, rows []chuteledger.Row) {
 	ctx, cancel := context.WithTimeout(ctx, ledgerWriteTimeout)
 	defer cancel()
@@ -76,7 +80,7 @@
 	n.storeCalls.add(callCounters)
 	version, currentRows, err := n.store.ReplaceIfUnchanged(ctx, n.settings.Tables.Ledger, ledgerPartition(n.settings.Self.Name), writes)
 	if err != nil {
-		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("cost counters not confirmed; they are written again")
+		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("the write of cost counters was not confirmed; they are written again")
 
 		return
 	}
--- a/internal/chutegate/lists.go
+++ b/internal/chutegate/lists.go
@@ -14,11 +14,12 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// watchConfig keeps the configuration and the evacuations up to date, which lie in one table.
+// watchConfig keeps the configuration and the evacuated zones up to date, which are rows of one
+// table.
 //
-// A node that starts learns of both at once, and of evacuations first: before it knows a
-// configuration it serves nobody, so it sends nothing to a zone that it does not know to be
-// evacuated.
+// A node that starts reads both at once and applies the evacuations first. Before it has a
+// configuration it serves nobody, so it sends no request to an evacuated zone without knowing of the
+// evacuation.
 func (n *Node) watchConfig(ctx context.Context) {
 	local := n.localTables[n.settings.Tables.Config]
 	var lastZones []string
@@ -32,8 +33,8 @@
 	})
 }
 
-// evacuatedZones returns the zones that the table says are evacuated, sorted. A row counts
-// whatever its value: an evacuation that is doubtful is obeyed.
+// evacuatedZones returns the zones that the table lists as evacuated, sorted. A row counts whatever
+// its value is, so an unreadable evacuation is obeyed too.
 func (n *Node) evacuatedZones(table chutefeed.Table) []string {
 	var zones []string
 	for _, row := range table.Rows() {
@@ -46,7 +47,8 @@
 	return zones
 }
 
-// adopt puts a newer configuration in force; one that can't be read leaves the old one there.
+// adoptConfig puts a newer configuration in force. If it can't be decoded, the previous one stays
+// in force.
 func (n *Node) adoptConfig(local *localTable) {
 	row, ok := local.snapshot().Get(n.settings.Tables.ConfigKey)
 	if !ok {
@@ -90,17 +92,17 @@
 	})
 }
 
-// entryRead is an upstream's entry as it was last read.
+// decodedEntry is an upstream's entry as last decoded, with the bytes it was decoded from.
 type decodedEntry struct {
 	value    []byte
 	upstream chutefleet.Upstream
 }
 
-// upstreamsOf decodes the list; false means that it was never read. What entries hold
-// that did not change is taken from the last time: of thousands few change at once.
+// decodeUpstreams decodes the list; false means that the table was never read. Unchanged entries
+// are taken from decoded, because of thousands only a few change at once.
 //
-// Entries that can't be read are logged when they become so. A line each time for an
-// entry that somebody else has left there would fill the log.
+// An unreadable entry is logged only when it becomes unreadable. A line at each read for an entry
+// that another program has left there would fill the log.
 func (n *Node) decodeUpstreams(table chutefeed.Table, decoded map[string]decodedEntry) ([]chutefleet.Upstream, bool) {
 	if table.Version() == 0 {
 		return nil, false
@@ -125,7 +127,8 @@
 	return list, true
 }
 
-// readEntry decodes an upstream's entry; before is the state as which it was last read.
+// decodeEntry decodes an upstream's entry; previous is the state that it had when it was last
+// decoded.
 func (n *Node) decodeEntry(row chutefeed.Row, previous chutefleet.State) decodedEntry {
 	u, err := n.decode.Upstream(row.Key, row.Value)
 	if err != nil {
@@ -150,7 +153,7 @@
 	})
 }
 
-// listedPeers returns the nodes of the last list.
+// listedPeers returns a copy of the last list of nodes.
 func (n *Node) listedPeers() []chuterelay.Peer {
 	if peers := n.nodes.Load(); peers != nil {
 		return slices.Clone(*peers)
@@ -159,7 +162,7 @@
 	return nil
 }
 
-// decodePeers decodes the list of nodes.
+// decodePeers decodes the list of nodes and leaves out rows that can't be decoded.
 func (n *Node) decodePeers(local *localTable) []chuterelay.Peer {
 	table := local.snapshot()
 	peers := make([]chuterelay.Peer, 0, table.Len())
@@ -176,23 +179,23 @@
 	return peers
 }
 
-// registerPause is the mean pause after the first write of the own row that failed; it
-// doubles with each further one, to 8 s.
+// registerRetryPause is the mean pause after the first failed write of this node's row. It doubles
+// with each further failure, up to 8 s.
 const registerRetryPause = 500 * time.Millisecond
 
-// jittered returns a random time with the given mean.
+// jittered returns a random duration between 0 and twice the mean.
 //
-// Nodes that start together fail together where the store does fewer writes a second
-// than there are nodes, and would come back together.
+// Nodes that start together fail together if the store handles fewer writes a second than there are
+// nodes. Without jitter they would also retry together.
 func jittered(mean time.Duration) time.Duration {
 	return time.Duration(2 * rand.Float64() * float64(mean)) //nolint:gosec // spreads calls, no secret
 }
 
-// register writes the own row, by which other nodes find this one.
+// registerNode writes this node's row to the store, where other nodes find it.
 func (n *Node) registerNode(ctx context.Context) {
 	value, err := json.Marshal(n.settings.Self)
 	if err != nil {
-		n.log.Error().Err(err).Msg("the own row can't be written")
+		n.log.Error().Err(err).Msg("this node's row can't be encoded")
 
 		return
 	}
@@ -204,7 +207,7 @@
 		if err == nil {
 			return
 		}
-		n.log.Warn().Err(err).Msg("the own row is not written yet")
+		n.log.Warn().Err(err).Msg("this node's row could not be written; it is tried again")
 		if !n.sleep(ctx, jittered(registerRetryPause<<min(failures, 4))) {
 			return
 		}
--- a/internal/chutegate/liveness.go
+++ b/internal/chutegate/liveness.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// quiet is how long an upstream may show nothing before it is asked whether it
-	// still accepts connections: most first events come sooner, and a pause of 0.8 s
-	// in a stream counts as late.
+	// livenessCheckAfter is how long an upstream may be silent before this node checks whether it
+	// still accepts connections. Most first events come sooner, and a pause of 0.8 s in a stream
+	// counts as late.
 	livenessCheckAfter = 600 * time.Millisecond
-	// proofs is how many connections in a row have to fail: one can fail for a lost
-	// packet, two hardly.
+	// requiredFailedChecks is the number of connection attempts in a row that have to fail. One can
+	// fail because of a lost packet; that two do is unlikely.
 	requiredFailedChecks = 2
 )
 
-// errGone ends a call to an upstream that accepts no connections any more.
+// errUpstreamGone cancels a call to an upstream that no longer accepts connections.
 var errUpstreamGone = errors.New("the upstream accepts no connections any more")
 
-// touch notes a sign of life.
+// recordActivity records that the upstream has just shown that it is alive.
 func (a *attempt) recordActivity() {
 	now := a.node.Now()
 	a.lastActivity.Store(&now)
 }
 
-// guarded returns a context that ends when the upstream is gone without a word.
+// withLivenessCheck returns a context that is cancelled when the upstream disappears without
+// closing its connections. The returned function ends the check.
 //
-// A VM that lost its power or was cut off closes no connections. The kernel finds
-// out after three seconds; a new connection tells in a third of one. Silence alone
-// proves nothing, since engines think long over some prompts, and a call that must
-// not run twice is left alone in any case.
+// A VM that lost power or was cut off from the network closes no connections. The kernel detects
+// that after three seconds; a new connection attempt shows it in a third of a second. Silence alone
+// proves nothing, because engines take long over some prompts. A call that must not run twice is
+// never cancelled by the check.
 func (a *attempt) withLivenessCheck(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	a.recordActivity()
@@ -49,7 +50,8 @@
 	return ctx, func() { cancel(nil) }
 }
 
-// gone says whether nothing accepts connections at the upstream's address.
+// upstreamGone reports whether requiredFailedChecks connection attempts to the upstream's address
+// failed in a row.
 func (a *attempt) upstreamGone(ctx context.Context) bool {
 	for range requiredFailedChecks {
 		if a.node.upstreams.AcceptsConnections(ctx, a.send.Upstream.Address) || ctx.Err() != nil {
--- a/internal/chutegate/localtable.go
+++ b/internal/chutegate/localtable.go
@@ -10,45 +10,46 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// settle is how long after the store's return missing upstreams are kept: live
-// ones are back in the list about two seconds after it.
+// settlePeriod is how long upstreams that are missing from the list are kept after the store's
+// return. Live ones are in the list again about two seconds after it.
 const settlePeriod = 2200 * time.Millisecond
 
-// watch is a table of the store as this node knows it.
+// localTable is this node's copy of one of the store's tables.
 type localTable struct {
 	name string
-	// essence returns what matters of a row's value; nil if all of it does.
+	// valueWithoutHeartbeat returns a row's value without the fields that each heartbeat changes;
+	// nil if all of the value matters.
 	valueWithoutHeartbeat func(value []byte) []byte
-	// signs is how often a node that is followed shows that it lives.
+	// keepaliveInterval is how often a source shows its followers that it is alive.
 	keepaliveInterval time.Duration
-	// staleAfter is how long after it was known to be up to date a node that follows another
-	// takes the table for stale and asks the store itself.
+	// staleAfter is the age at which a node with a source considers the table stale and reads the
+	// store itself.
 	staleAfter time.Duration
 
 	mu    sync.Mutex
 	table chutefeed.Table
-	// synced says that table is whole.
+	// synced is true if the table is complete up to its version.
 	synced bool
-	// away says that the last read failed.
+	// storeLost is true if the last read of the store failed.
 	storeLost bool
-	// current says that the last word on the store is good: the own read, or that of
-	// the node that is followed.
+	// current is true if the last sign of the store was good: this node's own read, or the status
+	// that the source reported.
 	current bool
-	// confirmedAt is the time as of which the table was last known to be up to date; zero
-	// if it never was.
+	// confirmedAt is the latest time as of which the table is known to have been up to date; zero
+	// if there is none.
 	confirmedAt time.Time
-	// source is the node that is followed, empty if there is none; sourceAt is
-	// confirmedAt by its word alone.
+	// source is the node that is followed, empty if there is none. sourceConfirmedAt is the same as
+	// confirmedAt, but by the source's reports alone.
 	source            chuterelay.Peer
 	sourceConfirmedAt time.Time
-	// heardFrom is the node that had the last change; empty if the store did.
+	// lastChangeNode is the node that the last change came from; empty for the store.
 	lastChangeNode string
-	// changed is closed and replaced by each change of the rows, of current and of confirmedAt.
+	// changed is closed and replaced at each change of the rows, of current or of confirmedAt.
 	changed chan struct{}
-	// returnedAt is when the store answered again after it had been away.
+	// storeReturnedAt is when the store last answered again after failed reads.
 	storeReturnedAt time.Time
-	// held says that rows may have been kept, when they were last looked at, that
-	// were missing from the list.
+	// wasSettling is true if the rows were settling when they were last looked at, so that rows
+	// missing from the table may have been kept then.
 	wasSettling bool
 }
 
@@ -56,7 +57,7 @@
 	return &localTable{name: name, keepaliveInterval: chuteshare.FollowEvery, staleAfter: staleAfter, changed: make(chan struct{})}
 }
 
-// snapshot returns the table as it is known.
+// snapshot returns the present state of the table.
 func (local *localTable) snapshot() chutefeed.Table {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -64,15 +65,16 @@
 	return local.table
 }
 
-// replace takes a whole table in; one that is older than what is known is left out.
+// replaceAll applies a whole table, unless it is older than the present one. It reports whether the
+// rows have to be looked at, as apply does.
 //
-// The store may answer with rows of some seconds ago. Taking them would bring
-// back an upstream that is leaving, or a configuration that was replaced.
+// The store may answer with rows that are some seconds old. They would bring back an upstream that
+// is leaving, or a configuration that was replaced.
 func (local *localTable) replaceAll(p Page) bool {
 	return local.applyFromStore(chutefeed.Change{Version: p.Version, Whole: true, Rows: local.rowsOfPage(p)})
 }
 
-// merge takes changes in and says whether any of them matters.
+// mergeChanges applies changes and reports whether the rows have to be looked at, as apply does.
 func (local *localTable) mergeChanges(p Page) bool {
 	p.Rows = lastChangeOfEachRow(p.Rows)
 	c := chutefeed.Change{Version: p.Version, Rows: local.rowsOfPage(p)}
@@ -85,7 +87,7 @@
 	return local.applyFromStore(c)
 }
 
-// lastOfEach returns the last change of each row. The store lists every change, and one
+// lastChangeOfEachRow returns the last change of each row. The store lists every change, and one
 // page may hold a row that was written, deleted and written again.
 func lastChangeOfEachRow(changes []Row) []Row {
 	last := make(map[string]uint64, len(changes))
@@ -96,10 +98,11 @@
 	return slices.DeleteFunc(slices.Clone(changes), func(row Row) bool { return row.Version < last[row.Key] })
 }
 
-// rowsOf returns the rows of a page with what matters of their values.
+// rowsOfPage returns the rows of a page that are not deleted, with their values as
+// valueWithoutHeartbeat returns them.
 //
-// Every upstream writes its row each second or so, to show that it lives. Taken as
-// changes, these would go on to all nodes, thousands a second.
+// Every upstream writes its row about once a second as a heartbeat. If those writes counted as
+// changes, thousands a second would be sent to all nodes.
 func (local *localTable) rowsOfPage(p Page) []chutefeed.Row {
 	rows := make([]chutefeed.Row, 0, len(p.Rows))
 	for _, row := range p.Rows {
@@ -116,7 +119,7 @@
 	return rows
 }
 
-// takeFrom takes a change of another node in, as take does.
+// applyFromNode applies a change that came from another node, as apply does.
 func (local *localTable) applyFromNode(node string, c chutefeed.Change) bool {
 	if !local.apply(c) {
 		return false
@@ -128,12 +131,12 @@
 	return true
 }
 
-// takeStored takes a change of the store in, as take does.
+// applyFromStore applies a change that came from the store, as apply does.
 func (local *localTable) applyFromStore(c chutefeed.Change) bool {
 	return local.applyFromNode("", c)
 }
 
-// heard returns the node that had the last change; empty if the store did.
+// lastChangeFrom returns the node that the last change came from; empty for the store.
 func (local *localTable) lastChangeFrom() string {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -141,8 +144,8 @@
 	return local.lastChangeNode
 }
 
-// take takes a change in, unless it is older than what is known, and says whether there
-// is something to look at: rows that changed, or the first state of the table.
+// apply applies a change, unless it is older than the table. It reports whether the rows have to be
+// looked at: they have changed, or this is the first state of the table.
 func (local *localTable) apply(c chutefeed.Change) bool {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -164,17 +167,19 @@
 	return true
 }
 
-// wake tells followers to look again; the caller holds mu.
+// notifyFollowers wakes the followers of this table; the caller holds mu.
 func (local *localTable) notifyFollowers() {
 	close(local.changed)
 	local.changed = make(chan struct{})
 }
 
-// confirmStep is the least time by which confirmedAt moves on; followers hear of each step at
-// once. A sign of life repeats the same time, give or take the way that it took.
+// minConfirmStep is the smallest step by which confirmedAt advances; followers are told of each
+// step at once. Keepalives repeat the same time, which differs only by the time that they took to
+// arrive.
 const minConfirmStep = 100 * time.Millisecond
 
-// setCurrent notes whether the last word on the store is good, and says whether that is news.
+// setCurrent sets whether the last sign of the store was good, and reports whether that is a
+// change.
 func (local *localTable) setCurrent(current bool) bool {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -188,7 +193,7 @@
 	return true
 }
 
-// confirm notes that the table was up to date with the store as of a time.
+// confirmAt records that the table was up to date with the store as of a time.
 func (local *localTable) confirmAt(asOf time.Time) {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -199,7 +204,7 @@
 	}
 }
 
-// follow notes which node is followed from now on; none if its name is empty.
+// setSource records which node is followed from now on; none if its name is empty.
 func (local *localTable) setSource(source chuterelay.Peer, now time.Time) {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -207,8 +212,8 @@
 	local.source, local.sourceConfirmedAt = source, now
 }
 
-// hear takes in a word of the node that is followed, and says whether it is news that this
-// one has lost the store.
+// recordSourceStatus records the status that the source reported, and reports whether the source
+// has just lost the store.
 func (local *localTable) recordSourceStatus(status chuteshare.Word, now time.Time) bool {
 	if asOf, known := local.recordPeerStatus(status, now); known {
 		local.mu.Lock()
@@ -221,8 +226,8 @@
 	return local.setCurrent(status.Current) && !status.Current
 }
 
-// hearSay takes in the word of any node whose table this one has by now, and returns the time as
-// of which it was up to date there.
+// recordPeerStatus records the status reported by any node whose table this node has received, and
+// returns the time as of which the table was up to date there. It returns false if it never was.
 func (local *localTable) recordPeerStatus(status chuteshare.Word, now time.Time) (time.Time, bool) {
 	asOf := now.Add(-status.Age)
 	if !status.Known() {
@@ -233,8 +238,8 @@
 	return asOf, true
 }
 
-// sourceAge returns the node that is followed, false if there is none, and how long ago the
-// table was known to be up to date by its word.
+// sourceAge returns the node that is followed, the time since the table was up to date by its
+// reports, and false if there is no such node.
 func (local *localTable) sourceAge(now time.Time) (chuterelay.Peer, time.Duration, bool) {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -242,7 +247,7 @@
 	return local.source, now.Sub(local.sourceConfirmedAt), local.source.Name != ""
 }
 
-// age is how long ago the table was last known to be up to date; false if it never was.
+// age returns the time since the table was last known to be up to date; false if it never was.
 func (local *localTable) age(now time.Time) (time.Duration, bool) {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -250,8 +255,8 @@
 	return now.Sub(local.confirmedAt), !local.confirmedAt.IsZero()
 }
 
-// confirmed is the time as of which the table was last known to be up to date, the node's start
-// if it never was.
+// lastConfirmed returns the time as of which the table was last known to be up to date, or the
+// node's start if it never was.
 func (local *localTable) lastConfirmed() time.Time {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -263,7 +268,8 @@
 	return local.confirmedAt
 }
 
-// after returns the version to read on from, and false if everything has to be read.
+// readPosition returns the version to read changes after, and false if the whole table has to be
+// read.
 func (local *localTable) readPosition() (uint64, bool) {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -271,7 +277,7 @@
 	return local.table.Version(), local.synced
 }
 
-// lost makes the next read a whole one.
+// requireFullRead makes the next read one of the whole table.
 func (local *localTable) requireFullRead() {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -279,7 +285,8 @@
 	local.synced = false
 }
 
-// reached notes whether the store answered, and says whether that is news.
+// recordStoreResult records whether the store answered, and reports whether that differs from the
+// last time.
 func (local *localTable) recordStoreResult(answered bool, now time.Time) bool {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -293,7 +300,7 @@
 	return changed
 }
 
-// followed returns what followers get.
+// stateForFollowers returns what followers are sent.
 func (local *localTable) stateForFollowers(now time.Time) chuteshare.Followed {
 	local.mu.Lock()
 	defer local.mu.Unlock()
@@ -303,7 +310,8 @@
 	}
 }
 
-// ageAt is how long ago the table was known to be up to date, 0 if it never was; the caller holds mu.
+// ageLocked returns the time since the table was known to be up to date, 0 if it never was; the
+// caller holds mu.
 func (local *localTable) ageLocked(now time.Time) time.Duration {
 	if local.confirmedAt.IsZero() {
 		return 0
@@ -312,11 +320,11 @@
 	return max(now.Sub(local.confirmedAt), time.Millisecond)
 }
 
-// unsettled says whether the rows have to be looked at although none has changed:
+// needsReview reports whether the rows have to be looked at although none has changed. That is so
 // while the list settles, and once more after that.
 //
-// An upstream that was removed while the list settled is kept so long. If nothing
-// changed after that, nobody looked again, and it went on getting calls.
+// An upstream that was removed while the list settled is kept until it has settled. Without the
+// last look, such an upstream went on getting calls if no row changed afterwards.
 func (local *localTable) needsReview(now time.Time) bool {
 	settling := local.isSettling(now)
 	local.mu.Lock()
@@ -327,7 +335,7 @@
 	return review
 }
 
-// settling says whether rows that are missing may yet come back.
+// isSettling reports whether rows that are missing from the table may still come back.
 func (local *localTable) isSettling(now time.Time) bool {
 	local.mu.Lock()
 	defer local.mu.Unlock()
--- a/internal/chutegate/localtable_test.go
+++ b/internal/chutegate/localtable_test.go
@@ -17,7 +17,8 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// beatless drops what stands behind a bar, as heartbeats change it.
+// withoutHeartbeat removes what follows a vertical bar, where these tests have the value that a
+// heartbeat changes.
 func withoutHeartbeat(value []byte) []byte {
 	before, _, _ := bytes.Cut(value, []byte("|"))
 
@@ -36,9 +37,9 @@
 }
 
 func TestWatch(t *testing.T) {
-	t.Run("heartbeats are no changes for followers", func(t *testing.T) {
-		// Thousands of upstreams write their rows each second. Sent on, that is a
-		// thousand rows a second to every node.
+	t.Run("heartbeats are not sent to followers", func(t *testing.T) {
+		// Thousands of upstreams write their rows each second. Sent on to followers, these would be
+		// thousands of rows a second to every node.
 		c := qt.New(t)
 		local := newTestTable()
 		c.Assert(local.replaceAll(newPage(1, Row{Key: "u", Value: []byte("ready|1"), Version: 1})), qt.IsTrue)
@@ -50,7 +51,7 @@
 		<-before.Changed
 	})
 
-	t.Run("what is older than what is known is left out", func(t *testing.T) {
+	t.Run("an older table is not applied", func(t *testing.T) {
 		c := qt.New(t)
 		local := newTestTable()
 		local.replaceAll(newPage(5, Row{Key: "u", Value: []byte("leaving|1"), Version: 5}))
@@ -59,10 +60,10 @@
 		c.Assert(string(row.Value), qt.Equals, "leaving")
 	})
 
-	t.Run("of several changes of a row the last one counts", func(t *testing.T) {
-		// Keys are taken away in quick succession while a node reads nothing. Its next
-		// read brings each configuration of that time; with the first of them in force
-		// callers whose keys are gone were served for four seconds.
+	t.Run("of several changes of a row only the last one is applied", func(t *testing.T) {
+		// Keys are revoked in quick succession while a node reads nothing. Its next read returns
+		// each configuration of that time. When the node put the first of them in force, callers
+		// with revoked keys were served for four seconds.
 		c := qt.New(t)
 		local := newTestTable()
 		local.replaceAll(newPage(1, Row{Key: "c", Value: []byte("1"), Version: 1}, Row{Key: "u", Value: []byte("ready"), Version: 1}))
@@ -78,7 +79,7 @@
 		c.Assert(rows[1].Key, qt.Equals, "u")
 	})
 
-	t.Run("a deleted row is gone", func(t *testing.T) {
+	t.Run("a deleted row is removed", func(t *testing.T) {
 		c := qt.New(t)
 		local := newTestTable()
 		local.replaceAll(newPage(5, Row{Key: "u", Value: []byte("ready"), Version: 5}))
@@ -86,9 +87,9 @@
 		c.Assert(local.snapshot().Len(), qt.Equals, 0)
 	})
 
-	t.Run("followers hear at once that a node is out of date", func(t *testing.T) {
-		// The node that all follow has lost the store. Each word that it is current
-		// would keep its followers from asking for themselves.
+	t.Run("followers are told at once that a node is out of date", func(t *testing.T) {
+		// The source of all nodes has lost the store. As long as it reports that it is current, its
+		// followers do not ask the store themselves.
 		c := qt.New(t)
 		local := newTestTable()
 		local.replaceAll(newPage(1))
@@ -101,7 +102,7 @@
 		c.Assert(local.stateForFollowers(time.Unix(0, 0)).Current, qt.IsFalse)
 	})
 
-	t.Run("a table whose history is gone is not handed on as current", func(t *testing.T) {
+	t.Run("a table whose history was dropped is not passed on as current", func(t *testing.T) {
 		c := qt.New(t)
 		local := newTestTable()
 		local.replaceAll(newPage(1))
@@ -112,7 +113,7 @@
 	})
 }
 
-// newTestNode returns a node that is not started, and what it logs.
+// newTestNode returns a node that is not started, and its log.
 func newTestNode(decode Decoders) (*Node, *bytes.Buffer) {
 	var log bytes.Buffer
 	n := New(Settings{Self: chuterelay.Peer{Name: "n0", Zone: "z"}, Tables: Tables{Upstreams: "u", Config: "c", Peers: "p"}},
@@ -131,8 +132,8 @@
 }
 
 func TestLogUpstreamChanges(t *testing.T) {
-	// A node that starts finds all upstreams at once, and a failure takes many along.
-	// One line each, of every node, drowns what on-call looks for.
+	// A node that starts finds all upstreams at once, and a failure takes many of them away. One
+	// line each, from every node, would hide what on-call looks for.
 	lines := func(before, after []chutefleet.Upstream) []string {
 		n, log := newTestNode(Decoders{})
 		n.logUpstreamChanges(before, after)
@@ -140,21 +141,21 @@
 		return strings.Split(strings.TrimSpace(log.String()), "\n")
 	}
 
-	t.Run("3,000 upstreams at a start are one line that counts them", func(t *testing.T) {
+	t.Run("3,000 upstreams at a start are counted in one line", func(t *testing.T) {
 		c := qt.New(t)
 		got := lines(nil, newUpstreams(3000, chutefleet.StateReady))
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0], qt.Contains, `"Upstreams":3000,"Joined":3000`)
 	})
 
-	t.Run("1,500 that go at once are one line", func(t *testing.T) {
+	t.Run("1,500 upstreams that disappear at once are one line", func(t *testing.T) {
 		c := qt.New(t)
 		got := lines(newUpstreams(3000, chutefleet.StateReady), newUpstreams(1500, chutefleet.StateReady))
 		c.Assert(got, qt.HasLen, 1)
 		c.Assert(got[0], qt.Contains, `"Gone":1500`)
 	})
 
-	t.Run("one that leaves has its line", func(t *testing.T) {
+	t.Run("one upstream that is leaving has a line of its own", func(t *testing.T) {
 		c := qt.New(t)
 		after := newUpstreams(3000, chutefleet.StateReady)
 		after[7].State = chutefleet.StateLeaving
@@ -165,7 +166,7 @@
 }
 
 func TestDecodeUpstreams(t *testing.T) {
-	t.Run("of a long list only what changed is decoded", func(t *testing.T) {
+	t.Run("only the changed entries of a long list are decoded", func(t *testing.T) {
 		c := qt.New(t)
 		decodeCalls := 0
 		n, _ := newTestNode(Decoders{Upstream: func(key string, _ []byte) (chutefleet.Upstream, error) {
@@ -191,9 +192,9 @@
 }
 
 func TestLedgerWritesSpread(t *testing.T) {
-	t.Run("400 nodes write at times of their own, over all parts", func(t *testing.T) {
-		// Nodes that start together wrote together, into one part that does 200
-		// transactions a second: half of them were turned away with 429.
+	t.Run("400 nodes spread their writes over time and over all partitions", func(t *testing.T) {
+		// Nodes that started together also wrote together, into one partition, which runs 200
+		// transactions a second: half of the writes were refused with 429.
 		c := qt.New(t)
 		const nodes = 400
 		seconds := map[string]int{}
@@ -207,13 +208,13 @@
 		}
 		c.Assert(parts, qt.HasLen, ledgerPartitions)
 		for at, n := range seconds {
-			c.Assert(n <= 10, qt.IsTrue, qt.Commentf("%d writes of a part in one second: %s", n, at))
+			c.Assert(n <= 10, qt.IsTrue, qt.Commentf("%d writes of a partition in one second: %s", n, at))
 		}
 	})
 }
 
-// Guards against a node that takes an answer for the newest state although it is older than what
-// the node knows, and tells those that follow it so.
+// Guards against a node that takes an answer of the store for the newest state although it is older
+// than the node's table, and tells its followers that the table is up to date.
 func TestOldAnswerConfirmsNothing(t *testing.T) {
 	c := qt.New(t)
 	clock := clockwork.NewFakeClock()
@@ -240,14 +241,14 @@
 	c.Assert(local.stateForFollowers(n.Now()).Age, qt.Equals, time.Second)
 }
 
-// Guards against an unknown pipeline or key that is refused for good by a node whose
-// configuration may not be the newest one.
+// Guards against a node whose configuration may not be the newest one, and which refuses an unknown
+// pipeline or key in a way that callers do not retry.
 func TestStaleConfigurationRefusesNobodyForGood(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	n := New(Settings{Tables: testTables, ConfigWithin: 3 * time.Second}, clock, zerolog.Nop(), Store{}, testDecoders(), Upstreams{})
 	unknown := chuterelay.Refusal{Kind: chuterelay.RefusedNoPipeline, Reason: "no pipeline"}
 
-	t.Run("while it was never known to be the newest", func(t *testing.T) {
+	t.Run("the configuration was never known to be the newest", func(t *testing.T) {
 		qt.Assert(t, n.asRetryableIfStale(unknown).Kind, qt.Equals, chuterelay.RefusedNotRun)
 	})
 
@@ -260,7 +261,7 @@
 
 	clock.Advance(time.Millisecond)
 
-	t.Run("a change may be missing that should be in force", func(t *testing.T) {
+	t.Run("a change that should be in force may be missing", func(t *testing.T) {
 		c := qt.New(t)
 		r := n.asRetryableIfStale(unknown)
 		c.Assert(r.Kind, qt.Equals, chuterelay.RefusedNotRun)
--- a/internal/chutegate/metrics.go
+++ b/internal/chutegate/metrics.go
@@ -8,7 +8,7 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// addGauges adds the figures that are read when metrics are asked for.
+// addGauges registers the gauges, which are computed whenever metrics are requested.
 func (n *Node) addGauges() {
 	n.meter.Gauge("ready", func() float64 { return boolToFloat(n.Ready()) })
 	n.meter.Gauge("draining", func() float64 { return boolToFloat(n.Draining()) })
@@ -66,7 +66,8 @@
 	return 0
 }
 
-// WriteState writes what the node decides by as JSON.
+// WriteState writes the state that the node bases its decisions on, as JSON. It returns the error
+// of the writer.
 func (n *Node) WriteState(w io.Writer) error {
 	var view chuterelay.View
 	n.Query(func(s chutecore.State) { view = s.Relay().View(n.Now()) })
@@ -76,7 +77,7 @@
 	return encoder.Encode(view)
 }
 
-// WriteMetrics writes all figures as text.
+// WriteMetrics writes all metrics as text. It returns the error of the writer.
 func (n *Node) WriteMetrics(w io.Writer) error {
 	return n.meter.Write(w)
 }
--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -10,11 +10,11 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// freeTimeout bounds the word to an upstream that results may go; what it misses
-// runs out by itself within seconds.
+// freeResultsTimeout bounds the call that tells an upstream to free results. Results that it is not
+// told of expire by themselves within seconds.
 const freeResultsTimeout = time.Second
 
-// perform carries one effect out; whatever blocks runs beside the loop.
+// performEffect performs one effect; whatever blocks runs in a goroutine of its own.
 func (n *Node) performEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.SetDeadline:
@@ -41,7 +41,8 @@
 	}
 }
 
-// performParts carries out the effects that concern stages' parts.
+// performPartsEffect performs the effects that concern the parts of stages, and those on upstreams'
+// connections and limits.
 func (n *Node) performPartsEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.AskParts:
@@ -69,7 +70,7 @@
 	}
 }
 
-// logLimit writes one line for each change of an upstream's limit.
+// logLimit logs one line for each change of an upstream's limit.
 func (n *Node) logLimit(e chuterelay.NoteLimit) {
 	line := n.log.Info()
 	if e.Unreadable != "" {
@@ -77,7 +78,7 @@
 	}
 	line.Str("Upstream", e.Upstream.ID).Str("Pool", e.Upstream.Pool).Str("Peer", e.Upstream.Address).
 		Bool("Limited", e.Limited).Float64("PerSecond", e.Limit.PerSecond).Int("Quota", e.Limit.Quota).
-		Dur("SpanMs", e.Limit.Span).Str("From", e.Teller).Msg("upstream's limit")
+		Dur("SpanMs", e.Limit.Span).Str("From", e.Teller).Msg("upstream's limit changed")
 }
 
 func (n *Node) setDeadline(e chuterelay.SetDeadline) {
@@ -96,7 +97,8 @@
 	}
 }
 
-// deliver gives the caller the attempt's answer; of a stream only the end is left to give.
+// deliverAnswer gives the caller the attempt's buffered answer. Without one the answer was
+// streamed, and only its end is left to write.
 func (n *Node) deliverAnswer(e chuterelay.Deliver) {
 	req, ok := n.requests[e.Handle]
 	if !ok {
@@ -111,7 +113,8 @@
 	n.finishRequest(e.Handle, requestResult{answer: &answer})
 }
 
-// end hands a request's end to whoever waits for it; the first end counts.
+// finishRequest passes a request's result to the goroutine that serves the caller; only the first
+// result counts.
 func (n *Node) finishRequest(handle uint64, result requestResult) {
 	req, ok := n.requests[handle]
 	if !ok {
@@ -123,7 +126,7 @@
 	}
 }
 
-// forget drops what is kept of a request.
+// forgetRequest deletes what the node keeps of a request, and cancels its attempts.
 func (n *Node) forgetRequest(handle uint64) {
 	req, ok := n.requests[handle]
 	if !ok {
@@ -139,7 +142,7 @@
 	delete(n.requests, handle)
 }
 
-// askParts runs a job at a peer's collector; the lease ends with dropAsk.
+// requestParts runs a job at a peer's collector. cancelPartsRequest ends the lease on its results.
 func (n *Node) requestParts(e chuterelay.AskParts) {
 	ctx, cancel := context.WithCancel(n.runContext)
 	n.partsRequestCancels[e.Ask] = cancel
@@ -165,7 +168,8 @@
 	}
 }
 
-// update tells a peer what became of its job; the channel has room for the one update there is.
+// sendJobUpdate tells a peer the outcome of its job. It never blocks: a job has one update, and the
+// channel has room for it.
 func (n *Node) sendJobUpdate(token uint64, u chuteshare.Update) {
 	if updates, ok := n.jobUpdates[token]; ok {
 		updates <- u
@@ -173,7 +177,7 @@
 	}
 }
 
-// runCall hands a batch of parts to an upstream.
+// runPartsCall sends a batch of parts to an upstream.
 func (n *Node) runPartsCall(ctx context.Context, e chuterelay.RunCall) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
@@ -204,7 +208,7 @@
 	n.sendEvent(ended)
 }
 
-// lostCall says what a failed call with parts means.
+// classifyPartsFailure returns how a failed call with parts ended, and the kind of the failure.
 func classifyPartsFailure(err error) (chutebatch.CallEnd, chutefleet.FailureKind) {
 	failure := asSendError(err)
 	kind := chutefleet.FailureBroken
@@ -218,7 +222,7 @@
 	return chutebatch.CallLost, kind
 }
 
-// probe asks whether a silent upstream accepts connections again.
+// probeUpstream checks, at the time given, whether a silent upstream accepts connections again.
 func (n *Node) probeUpstream(ctx context.Context, e chuterelay.Probe) {
 	if !n.sleep(ctx, e.At.Sub(n.Now())) {
 		return
@@ -226,23 +230,24 @@
 	n.sendEvent(chuterelay.ProbeEnded{Upstream: e.Upstream.ID, Alive: n.upstreams.AcceptsConnections(ctx, e.Upstream.Address)})
 }
 
-// free tells an upstream that results may go.
+// freeResults tells an upstream that results are no longer needed.
 func (n *Node) freeResults(ctx context.Context, e chuterelay.FreeResults) {
 	ctx, cancel := context.WithTimeout(ctx, freeResultsTimeout)
 	defer cancel()
 	if err := n.upstreams.FreeResults(ctx, e.Upstream, e.Refs); err != nil {
 		n.log.Debug().Err(err).Str("Upstream", e.Upstream.ID).Int("Results", len(e.Refs)).
-			Msg("results not freed; they run out by themselves")
+			Msg("results could not be freed; they expire by themselves")
 	}
 }
 
-// takeJob takes a peer's job to the own collector.
+// acceptJob hands a peer's job to this node's own collector.
 func (n *Node) acceptJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
 	n.sendEventWith(chuterelay.JobAsked{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobUpdates[token] = updates })
 }
 
-// workspaceOf returns whose request a line is about. Only the first line and the last one
-// say it: the others are most of the log, and their request's id leads to these two.
+// workspaceForLog returns the workspace for a log line about a request, empty for most lines. Only
+// a request's first and last line name it: the other lines are most of the log, and their request
+// ID leads to these two.
 func workspaceForLog(e chuterelay.Note) string {
 	switch e.Step {
 	case chuterelay.StepAdmitted, chuterelay.StepRefused, chuterelay.StepAnswered, chuterelay.StepFailed, chuterelay.StepCancelled:
@@ -252,7 +257,7 @@
 	}
 }
 
-// logNote writes one decision on a request.
+// logDecision logs one decision on a request.
 func (n *Node) logDecision(e chuterelay.Note) {
 	line := n.log.Info().Str("Request", e.Request).Str("Pipeline", e.Pipeline).Str("Pool", e.Pool)
 	if e.Stage >= 0 {
--- a/internal/chutegate/platform.go
+++ b/internal/chutegate/platform.go
@@ -13,93 +13,96 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// IncomingRequest is one request as the front door has read it.
+// IncomingRequest is one request as the platform's HTTP server has decoded it.
 type IncomingRequest struct {
-	// ID is the caller's name for this sending.
+	// ID is the caller's ID for this request; it differs each time the request is sent.
 	ID     string
 	Host   string
 	Method string
-	// URI is the path and query as they came, byte for byte.
+	// URI is the path and query, byte for byte as received.
 	URI  string
 	Path string
-	// Header holds what goes on to the upstream.
+	// Header holds the fields that are passed on to the upstream.
 	Header http.Header
 	Body   []byte
-	// Key is the caller's key, empty if there is none.
+	// Key is the caller's API key, empty if there is none.
 	Key string
-	// Wait is how long the caller waits; 0 if it did not say.
+	// Wait is how long the caller waits for an answer; 0 if it did not say.
 	Wait time.Duration
-	// LastEvent is the number of the last event that the caller has of an earlier
-	// sending; -1 if there is none.
+	// LastEventID is the number of the last event that the caller received when it sent the request
+	// before; -1 if there is none.
 	LastEventID int
-	// Affinity names the part of the prompt that other requests share.
+	// Affinity identifies the part of the prompt that other requests share.
 	Affinity     string
 	PromptTokens int64
-	// Parts is the number of parts of each stage, PartKey the input of the first.
+	// Parts is the number of parts of each stage. PartKey is the input of the first stage.
 	Parts   []int
 	PartKey string
 }
 
-// Output takes the answer to a caller; its functions are called by one goroutine at a time.
+// Output writes the answer to a caller. Its functions are called by one goroutine at a time; all
+// fields must be set.
 type Output struct {
-	// Whole writes a whole answer.
+	// WriteAnswer writes a complete answer.
 	WriteAnswer func(status int, h http.Header, body []byte)
-	// Begin writes the head of a stream, Event one event, and End its proper end.
+	// BeginStream writes the head of a stream, WriteEvent one event, and EndStream the regular end
+	// of the stream.
 	BeginStream func(status int, h http.Header)
 	WriteEvent  func(event []byte) error
 	EndStream   func()
-	// Break ends a stream that has begun in a way that can't be taken for its end.
+	// AbortStream ends a stream that has begun, in a way that can't be taken for a regular end.
 	AbortStream func()
-	// Refuse says why there is no answer.
+	// Refuse writes the reason why there is no answer.
 	Refuse func(r chuterelay.Refusal)
 }
 
-// Call is one relayed call.
+// Call is one call to an upstream.
 type Call struct {
 	Incoming  *IncomingRequest
 	Upstream  chutefleet.Upstream
 	Workspace string
 	TimeLeft  time.Duration
 	Inputs    []string
-	// LastEvent is the last event that the caller has; -1 if it has none.
+	// LastEventID is the number of the last event that the caller has; -1 if it has none.
 	LastEventID int
 	Fresh       bool
 	Priority    int
 }
 
-// Answer is an upstream's answer with its marks decoded.
+// Answer is an upstream's answer with its platform-specific header fields decoded.
 type Answer struct {
 	Status int
-	// Header holds what goes on to the caller.
+	// Header holds the fields that are passed on to the caller.
 	Header http.Header
-	// Signed says that the upstream vouches for the answer.
+	// Signed is true if the upstream vouches for the answer by a signature.
 	Signed bool
-	// NotRun says that the upstream did not run the call, InputGone that a stage's
-	// result was missing, and Misaddressed that another incarnation has the address.
+	// NotRun is true if the upstream did not run the call, InputGone if the result of an earlier
+	// stage was missing, and Misaddressed if another incarnation has the address now.
 	NotRun       bool
 	InputGone    bool
 	Misaddressed bool
-	// Altered says that the body is not in the upstream's own bytes.
+	// Altered is true if the body is not in the bytes that the upstream produced.
 	Altered       bool
 	Leaving       bool
 	IsEventStream bool
 	Load          *chuterelay.Load
 	// Cold is how much longer the upstream says that it stays cold; 0 if it does not say.
 	Cold time.Duration
-	// Limit is the upstream's word on the requests that it takes; nil if it has none.
+	// Limit is the upstream's statement on how many requests it accepts; nil if it makes none.
 	Limit *chuterelay.Limit
 	Body  io.ReadCloser
 }
 
-// SendError says how a call failed before there was an answer.
+// SendError is a call that failed before there was an answer.
 type SendError struct {
-	// Unsent is true only if the upstream can't have seen the call.
+	// Unsent is true only if the upstream can't have seen the call. Silent is true if the upstream
+	// gave no sign of life.
 	Unsent bool
 	Silent bool
 	Err    error
 }
 
-// Error returns the cause's text.
+// Error returns the text of the cause.
 func (e *SendError) Error() string {
 	return e.Err.Error()
 }
@@ -114,11 +117,11 @@
 	Ends    []chutebatch.PartEnd
 	Refused bool
 	Leaving bool
-	// Limit is the upstream's word on the requests that it takes; nil if it has none.
+	// Limit is the upstream's statement on how many requests it accepts; nil if it makes none.
 	Limit *chuterelay.Limit
 }
 
-// PartRequest is one part as an upstream is asked for it.
+// PartRequest is one part of a stage as it is sent to an upstream.
 type PartRequest struct {
 	Request  string
 	Stage    int
@@ -128,22 +131,22 @@
 	Inputs   []string
 }
 
-// Upstreams calls upstreams; all fields must be set.
+// Upstreams holds the functions that call upstreams; all fields must be set.
 type Upstreams struct {
-	// Exchange hands a call over; its error is a *SendError.
+	// Exchange sends a call and returns the answer; its error is a *SendError.
 	Exchange func(ctx context.Context, c Call) (Answer, error)
-	// RunParts runs a batch; its error is a *SendError.
+	// RunParts runs a batch of parts; its error is a *SendError.
 	RunParts func(ctx context.Context, u chutefleet.Upstream, parts []PartRequest) (PartsAnswer, error)
-	// Free tells an upstream which results nobody needs.
+	// FreeResults tells an upstream which results are no longer needed.
 	FreeResults func(ctx context.Context, u chutefleet.Upstream, refs []string) error
-	// Ended says whether a process that was at an address has ended: the VM is there and
-	// refuses connections. No answer proves nothing.
+	// HasEnded reports whether the process that was at an address has ended, which is certain only
+	// if the VM is reachable and refuses connections. No answer proves nothing.
 	HasEnded func(ctx context.Context, address string) bool
-	// Alive says whether anything accepts connections at an address.
+	// AcceptsConnections reports whether anything accepts connections at an address.
 	AcceptsConnections func(ctx context.Context, address string) bool
-	// Forget closes the unused connections to an address.
+	// CloseIdle closes the unused connections to an address.
 	CloseIdle func(address string)
-	// Trim drops connections that were idle for too long.
+	// TrimIdle closes connections that have been idle for too long.
 	TrimIdle func()
 }
 
@@ -155,51 +158,53 @@
 	Deleted bool
 }
 
-// Page is what the store answered, and the version as of which it is true.
+// Page is an answer of the store, with the version of the table that it is valid for.
 type Page struct {
 	Rows    []Row
 	Version uint64
 }
 
-// ErrCompacted says that the store has forgotten the changes asked for; everything has to be read again.
+// ErrCompacted is returned by AwaitChanges if the store has dropped the requested history; the
+// whole table has to be read again.
 var ErrCompacted = errors.New("the store no longer has these changes")
 
-// Store is the platform's store; all fields must be set.
+// Store holds the functions that call the platform's store; all fields must be set.
 type Store struct {
-	// Changes waits for changes of a table after a version, up to wait.
+	// AwaitChanges returns the changes of a table after a version, and waits up to wait if there
+	// are none yet.
 	AwaitChanges func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error)
-	// All reads a whole table.
+	// ReadAll reads a whole table.
 	ReadAll func(ctx context.Context, table string) (Page, error)
-	// Put and Remove change one row.
+	// Put writes one row, and Remove deletes one.
 	Put    func(ctx context.Context, table, key string, value []byte) error
 	Remove func(ctx context.Context, table, key string) error
-	// Change writes and deletes rows whatever they are, all or none.
+	// WriteRows writes and deletes rows unconditionally, in one transaction.
 	WriteRows func(ctx context.Context, table string, put []Row, remove []string) error
-	// Replace writes rows of one part of a table, each on the condition that it has the
-	// given version (0: absent), all or none. It returns their new version, or else the
-	// rows as they are.
+	// ReplaceIfUnchanged writes rows of one partition of a table in one transaction, on the
+	// condition that each row still has the given version (0: absent). It returns the rows' new
+	// version, or the present rows if the condition does not hold.
 	ReplaceIfUnchanged func(ctx context.Context, table, part string, rows []Row) (version uint64, present []Row, err error)
 }
 
-// Decoders read the platform's rows; all fields must be set.
+// Decoders holds the functions that decode the platform's rows; all fields must be set.
 type Decoders struct {
 	Config func(value []byte) (chuteroute.Config, error)
-	// EvacuatedZone returns the zone that a row of the configuration's table says is
-	// evacuated, by its key; false for all other rows.
+	// EvacuatedZone returns the zone that a row of the configuration's table marks as evacuated,
+	// which follows from the row's key; false for all other rows.
 	EvacuatedZone func(key string) (zone string, ok bool)
 	Upstream      func(key string, value []byte) (chutefleet.Upstream, error)
-	// UpstreamEssence returns an upstream's entry without what each heartbeat changes;
-	// one that can't be read is returned as it is.
+	// UpstreamWithoutHeartbeat returns an upstream's entry without the fields that each heartbeat
+	// changes. An entry that can't be decoded is returned unchanged.
 	UpstreamWithoutHeartbeat func(value []byte) []byte
 }
 
-// Tables names the store's tables.
+// Tables names the tables of the store.
 type Tables struct {
 	Config    string
 	ConfigKey string
 	Upstreams string
-	// Peers is the project's own table of nodes, Ledger that of cost counters.
-	// Quarantine is that of crashes, of the requests that are set aside, and of upstreams' limits.
+	// Peers is this project's table of nodes, and Ledger its table of cost counters. Quarantine
+	// holds crashes, the requests that are quarantined, and the limits of upstreams.
 	Peers      string
 	Ledger     string
 	Quarantine string
--- a/internal/chutegate/quarantine.go
+++ b/internal/chutegate/quarantine.go
@@ -18,33 +18,36 @@
 )
 
 const (
-	// endedTimeout bounds the question whether an upstream has ended; a refusal takes the
-	// time to the VM and back, and the caller's request waits for it before it goes elsewhere.
+	// upstreamEndedTimeout bounds the check whether an upstream's process has ended. A refused
+	// connection takes one round trip to the VM, and the caller's request waits for it before it is
+	// sent elsewhere.
 	upstreamEndedTimeout = 100 * time.Millisecond
-	// gatherReports is how long crashes are gathered before they are told: an engine takes
-	// tens of calls along, which break within milliseconds.
+	// reportBatchDelay is how long reports are collected before they are sent. An engine that
+	// crashes breaks tens of calls within milliseconds.
 	reportBatchDelay = 10 * time.Millisecond
-	// storePause is the mean pause after the first write of crashes that failed; it doubles
-	// with each further one up to longestStorePause, so that all nodes have told theirs
-	// within 3 s of the store's return.
+	// reportRetryPause is the mean pause after the first failed write of reports. It doubles with
+	// each further failure up to maxReportRetryPause, which is short enough for all nodes to have
+	// written theirs within 3 s of the store's return.
 	reportRetryPause    = 250 * time.Millisecond
 	maxReportRetryPause = time.Second
-	// gossipPeers is the number of peers that are told ahead of the store, and gossipHops how
-	// often they pass on what is new to them.
+	// gossipFanout is the number of peers that a new report is sent to, without waiting for the
+	// store. gossipHops is the number of times that peers pass on what is new to them.
 	gossipFanout = 16
 	gossipHops   = 2
-	// gossipAgainPeers is the number of peers that hear of what the store does not take, with
-	// each new try: some 3 KB a second.
+	// gossipRetryFanout is the number of peers that reports are sent to after each failed write to
+	// the store, some 3 KB a second.
 	gossipRetryFanout = 4
-	// quarantineEvery is the least time between two reads of crashes and judgements.
+	// quarantineReadInterval is the minimum time between two reads of the quarantine table.
 	quarantineReadInterval = 100 * time.Millisecond
-	// purgeEvery is how often old rows are looked for, and maxRows the number from which
-	// on the oldest crashes go before their time: 8,192 rows are some 6 MB at each node.
+	// purgeInterval is the time between two searches for old rows. maxQuarantineRows is the number
+	// of rows above which the oldest crashes are removed before they expire: 8,192 rows take some 6
+	// MB at each node.
 	purgeInterval     = time.Minute
 	maxQuarantineRows = 8192
 )
 
-// upstreamEnded says whether an upstream has ended, and not just a connection to it.
+// upstreamHasEnded reports whether the upstream's process has ended, as opposed to just a
+// connection to it.
 func (n *Node) upstreamHasEnded(ctx context.Context, u chutefleet.Upstream) bool {
 	ctx, cancel := context.WithTimeout(ctx, upstreamEndedTimeout)
 	defer cancel()
@@ -52,7 +55,7 @@
 	return n.upstreams.HasEnded(ctx, u.Address)
 }
 
-// performQuarantine carries out the effects that concern requests which end upstreams.
+// performQuarantineEffect performs the effects that concern requests which make upstreams crash.
 func (n *Node) performQuarantineEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.TellCrash:
@@ -75,7 +78,7 @@
 	}
 }
 
-// logCrash writes one line an upstream that ended, or one for further suspects there.
+// logCrash logs one line for each upstream that ended, and one for further suspects of that crash.
 func (n *Node) logCrash(e chuterelay.NoteCrash) {
 	suspects := make([]string, 0, len(e.Crash.Suspects))
 	for _, s := range e.Crash.Suspects {
@@ -85,25 +88,26 @@
 		Str("Evidence", e.Evidence).Msg("upstream ended under requests")
 }
 
-// report queues a crash or a judgement for the other nodes and the store.
+// queueReport queues a crash, a judgement or a limit for the other nodes and for the store.
 //
-// The store keeps it for nodes that start later. Gossip is there sooner, and
-// while the store is away it is the only way.
+// The store keeps it for nodes that start later. Gossip arrives sooner, and is the only way while
+// the store is unavailable.
 func (n *Node) queueReport(key string, report any) {
 	value, err := json.Marshal(report)
 	if err != nil {
-		n.log.Error().Err(err).Str("Key", key).Msg("a crash or judgement can't be written")
+		n.log.Error().Err(err).Str("Key", key).Msg("a report can't be encoded")
 
 		return
 	}
 	row := chutefeed.Row{Key: key, Value: value}
 	n.knownReports.addIfNew(row)
 	if !n.gossipQueue.add(row) || !n.storeQueue.add(row) {
-		n.log.Error().Str("Key", key).Msg("too many crashes wait for the store; this one is lost with this node")
+		n.log.Error().Str("Key", key).Msg("too many reports wait for the store; this one is not written")
 	}
 }
 
-// awaitReports waits for rows in a queue and a moment longer, since more come at once.
+// awaitReports waits until a queue has rows and for reportBatchDelay after that, because reports
+// come in bursts. It returns false if ctx ended first.
 func (n *Node) awaitReports(ctx context.Context, q *reportQueue) bool {
 	select {
 	case <-ctx.Done():
@@ -113,7 +117,7 @@
 	}
 }
 
-// gossipReports tells other nodes what this one has seen.
+// gossipReports sends this node's reports to other nodes.
 func (n *Node) gossipReports(ctx context.Context) {
 	for n.awaitReports(ctx, n.gossipQueue) {
 		if rows := n.gossipQueue.takeBatch(); len(rows) > 0 {
@@ -122,7 +126,7 @@
 	}
 }
 
-// storeReports writes to the store what this node has seen, until the store has it.
+// storeReports writes this node's reports to the store, and repeats each write until it succeeds.
 func (n *Node) storeReports(ctx context.Context) {
 	failures := 0
 	for n.awaitReports(ctx, n.storeQueue) {
@@ -141,9 +145,9 @@
 			continue
 		}
 		n.storeQueue.requeue(rows)
-		// Gossip loses calls, and without the store nothing else brings them.
+		// Gossip calls can get lost, and without the store nothing else delivers the reports.
 		n.gossipToPeers(rows, gossipRetryFanout, gossipHops)
-		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("crashes and judgements are not in the store yet")
+		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("reports could not be written to the store; they are tried again")
 		if !n.sleep(ctx, jittered(min(maxReportRetryPause, reportRetryPause<<min(failures, 8)))) {
 			return
 		}
@@ -151,7 +155,7 @@
 	}
 }
 
-// changeQuarantine makes one change of the table of crashes and judgements.
+// writeQuarantine writes and removes rows of the quarantine table in one transaction.
 func (n *Node) writeQuarantine(ctx context.Context, put []Row, remove []string) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -160,12 +164,12 @@
 	return n.store.WriteRows(ctx, n.settings.Tables.Quarantine, put, remove)
 }
 
-// gossip brings rows to some other nodes, to all where they are few.
+// gossip sends rows to gossipFanout random other nodes, or to all if there are no more than that.
 func (n *Node) gossip(rows []chutefeed.Row, hops int) {
 	n.gossipToPeers(rows, gossipFanout, hops)
 }
 
-// gossipTo brings rows to so many other nodes, drawn anew each time.
+// gossipToPeers sends rows to random other nodes, chosen anew at each call; fanout is their number.
 func (n *Node) gossipToPeers(rows []chutefeed.Row, fanout, hops int) {
 	others := n.listedPeers()
 	others = slices.DeleteFunc(others, func(p chuterelay.Peer) bool { return p.Name == n.settings.Self.Name })
@@ -173,19 +177,19 @@
 		rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] }) //nolint:gosec // spreads gossip, no secret
 		others = others[:fanout]
 	} else {
-		// All hear it from this node; nobody has to pass it on.
+		// Every node gets the rows from this one, so nobody has to pass them on.
 		hops = 0
 	}
 	for _, peer := range others {
 		n.spawn(func(ctx context.Context) {
 			if err := n.peers.Tell(ctx, peer.Address, n.settings.Tables.Quarantine, rows, hops); err != nil {
-				n.log.Debug().Err(err).Str("Peer", peer.Name).Msg("a peer was not told of a crash; it reads it at the store")
+				n.log.Debug().Err(err).Str("Peer", peer.Name).Msg("reports could not be sent to a peer; it reads them from the store")
 			}
 		})
 	}
 }
 
-// takeReports takes in another node's rows and passes on what is new.
+// receiveReports accepts rows from another node and passes on those that are new.
 func (n *Node) receiveReports(table string, rows []chutefeed.Row, hops int) {
 	if table != n.settings.Tables.Quarantine {
 		return
@@ -200,7 +204,7 @@
 	}
 }
 
-// watchQuarantine keeps up with what the store has of crashes, judgements and limits.
+// watchQuarantine keeps the crashes, judgements and limits up to date with the store.
 func (n *Node) watchQuarantine(ctx context.Context) {
 	local := n.localTables[n.settings.Tables.Quarantine]
 	n.spawn(func(ctx context.Context) { n.purgeOldRows(ctx, local) })
@@ -222,7 +226,7 @@
 	})
 }
 
-// takeRows hands rows to the loop; one that can't be read is left out.
+// sendQuarantineRows queues rows for the event loop and leaves out those that can't be decoded.
 func (n *Node) sendQuarantineRows(rows []chutefeed.Row) {
 	var reports chuterelay.QuarantineHeard
 	var limits chuterelay.LimitsHeard
@@ -240,7 +244,7 @@
 			reports.Judgements = append(reports.Judgements, judgement)
 		}
 		if err := errors.Join(err, judgementErr, limitErr); err != nil {
-			n.log.Error().Err(err).Str("Key", row.Key).Msg("what another node tells of an upstream can't be read; it is left out")
+			n.log.Error().Err(err).Str("Key", row.Key).Msg("a crash, judgement or limit can't be decoded; it is left out")
 		}
 	}
 	if len(limits.Words) > 0 {
@@ -251,7 +255,7 @@
 	}
 }
 
-// purgeQuarantine removes old rows, where this node reads the store for the others.
+// purgeOldRows removes old rows from the store, if this node is one that reads the store itself.
 func (n *Node) purgeOldRows(ctx context.Context, local *localTable) {
 	firstSeen := map[string]time.Time{}
 	for n.sleep(ctx, purgeInterval) {
@@ -260,14 +264,14 @@
 			continue
 		}
 		if err := n.writeQuarantine(ctx, nil, old); err != nil {
-			n.log.Warn().Err(err).Int("Rows", len(old)).Msg("old crashes and judgements are not removed yet")
+			n.log.Warn().Err(err).Int("Rows", len(old)).Msg("old reports could not be removed; they are tried again")
 		}
 	}
 }
 
-// oldRows returns keys of rows that are to go: those that have been there for longer than
-// they count, and of crashes that are too many the oldest. first holds since when each is
-// known here.
+// rowsToPurge returns the keys of the rows to remove, up to maxReportsPerBatch: rows that have been
+// there for chutequarantine.Life, and the oldest crashes if there are more than maxQuarantineRows
+// rows. It records in firstSeen when this node first saw each row.
 func rowsToPurge(table chutefeed.Table, firstSeen map[string]time.Time, now time.Time) []string {
 	var old []string
 	var crashes []chutefeed.Row
--- a/internal/chutegate/quarantine_test.go
+++ b/internal/chutegate/quarantine_test.go
@@ -17,19 +17,20 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// verdict is a judgement that sets a request aside.
+// quarantineJudgement returns a judgement that quarantines a request.
 func quarantineJudgement(fingerprint string) chutequarantine.Judgement {
 	return chutequarantine.Judgement{
 		Suspect: chutequarantine.Suspect{Fingerprint: fingerprint, Workspace: "team"}, Verdict: chutequarantine.VerdictQuarantined,
 	}
 }
 
-// judges has a node tell a verdict.
+// tellJudgement makes a node report a judgement.
 func (region *testRegion) tellJudgement(node, fingerprint string) {
 	region.nodes[node].performQuarantineEffect(chuterelay.TellJudgement{Judgement: quarantineJudgement(fingerprint)})
 }
 
-// expectHeld waits until all nodes but those named have set a request aside.
+// expectQuarantined waits until all nodes have quarantined a request, with the exception of the
+// first node named in except.
 func (region *testRegion) expectQuarantined(fingerprint string, except ...string) {
 	for name, n := range region.nodes {
 		if len(except) > 0 && name == except[0] {
@@ -44,14 +45,14 @@
 	}
 }
 
-// until waits for a state that other goroutines bring about.
+// waitUntil waits until done returns true because of what other goroutines do.
 func waitUntil(done func() bool) {
 	for !done() {
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// stored says whether the store has a verdict.
+// isStored reports whether the store has the judgement.
 func (region *testRegion) isStored(fingerprint string) bool {
 	region.store.mu.Lock()
 	defer region.store.mu.Unlock()
@@ -65,14 +66,14 @@
 	region.expectConfig(1)
 	teller := region.peers[testNodesPerZone].Name
 
-	t.Run("all nodes hear of a verdict, and the store keeps it", func(*testing.T) {
+	t.Run("all nodes receive a judgement, and the store keeps it", func(*testing.T) {
 		region.tellJudgement(teller, "a")
 		region.expectQuarantined("a", teller)
 		waitUntil(func() bool { return region.isStored("a") })
 	})
 
-	t.Run("they hear of it while the store is away, and the store when it is back", func(*testing.T) {
-		// Without the store there is no other way than from node to node.
+	t.Run("nodes receive it while the store is unavailable, and the store once it is back", func(*testing.T) {
+		// While the store is unavailable, gossip is the only way.
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, true)
 		}
@@ -85,8 +86,8 @@
 		waitUntil(func() bool { return region.isStored("b") })
 	})
 
-	t.Run("gossip that was lost while the store is away is repeated", func(*testing.T) {
-		// The calls to all peers fail at first, as on a machine that is held up.
+	t.Run("gossip lost while the store is unavailable is repeated", func(*testing.T) {
+		// The calls to all peers fail at first, as on a machine that is stalled.
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, true)
 		}
@@ -103,8 +104,8 @@
 		waitUntil(func() bool { return region.isStored("c") })
 	})
 
-	t.Run("a node that starts later knows them", func(t *testing.T) {
-		// All that knew it may be gone by then; the store is what is left.
+	t.Run("a node that starts later knows the judgements", func(t *testing.T) {
+		// All nodes that knew of the judgement may be gone by then; only the store has it.
 		for name := range region.nodes {
 			region.kill(name)
 		}
@@ -127,7 +128,7 @@
 		{Key: "other", Value: []byte(`{}`)},
 	}
 
-	t.Run("rows that can't be read are logged and left out", func(*testing.T) {
+	t.Run("rows that can't be decoded are logged and left out", func(*testing.T) {
 		n.receiveReports("q", rows, 0)
 		heard := (<-n.messages).relayEvent.(chuterelay.QuarantineHeard)
 		c.Assert(heard.Crashes, qt.HasLen, 1)
@@ -135,7 +136,7 @@
 		c.Assert(log.String(), qt.Contains, chutequarantine.CrashPrefix+"2")
 	})
 
-	t.Run("what is heard again, or of another table, is no news", func(*testing.T) {
+	t.Run("rows received again or of another table are ignored", func(*testing.T) {
 		n.receiveReports("q", rows, 0)
 		n.receiveReports("p", []chutefeed.Row{{Key: chutequarantine.JudgementPrefix + "g", Value: []byte(`{"Fingerprint":"g"}`)}}, 0)
 		c.Assert(n.messages, qt.HasLen, 0)
@@ -147,7 +148,7 @@
 		return chutefeed.Row{Key: fmt.Sprint("k", i), Value: []byte{byte(i)}}
 	}
 
-	t.Run("it is bounded, and newer rows take the place of older ones", func(t *testing.T) {
+	t.Run("it is bounded, and newer rows replace older ones", func(t *testing.T) {
 		c := qt.New(t)
 		q := newReportQueue()
 		for i := range maxQueuedReports {
@@ -157,7 +158,7 @@
 		c.Assert(q.add(row(0)), qt.IsTrue)
 	})
 
-	t.Run("rows that could not be written come again, unless there are newer ones", func(t *testing.T) {
+	t.Run("rows that could not be written are queued again, unless there are newer ones", func(t *testing.T) {
 		c := qt.New(t)
 		q := newReportQueue()
 		q.add(row(1))
@@ -168,7 +169,7 @@
 		c.Assert(q.takeBatch(), qt.DeepEquals, []chutefeed.Row{newer})
 	})
 
-	t.Run("what does not fit into one message is due at once", func(t *testing.T) {
+	t.Run("rows beyond one batch are ready at once", func(t *testing.T) {
 		c := qt.New(t)
 		q := newReportQueue()
 		for i := range maxReportsPerBatch + 1 {
@@ -187,7 +188,7 @@
 		return chutefeed.Row{Key: fmt.Sprint(chutequarantine.CrashPrefix, i), Version: uint64(i + 1)} //nolint:gosec // a small count
 	}
 
-	t.Run("rows go when they count no more", func(t *testing.T) {
+	t.Run("expired rows are removed", func(t *testing.T) {
 		c := qt.New(t)
 		firstSeen := map[string]time.Time{}
 		table := chutefeed.NewTable([]chutefeed.Row{crash(0), {Key: chutequarantine.JudgementPrefix + "f"}}, 5)
@@ -198,7 +199,7 @@
 		c.Assert(firstSeen, qt.HasLen, 0)
 	})
 
-	t.Run("of too many the oldest crashes go, and no verdict", func(t *testing.T) {
+	t.Run("if there are too many rows, the oldest crashes are removed, but no judgement", func(t *testing.T) {
 		c := qt.New(t)
 		rows := []chutefeed.Row{{Key: chutequarantine.JudgementPrefix + "f"}}
 		for i := range maxQuarantineRows + 1 {
--- a/internal/chutegate/read.go
+++ b/internal/chutegate/read.go
@@ -12,38 +12,39 @@
 )
 
 const (
-	// configWait and peersWait are how long one question for changes stays open. A
-	// connection that went silent is noticed waitMargin later; until then the node that
-	// asked, and those that follow it, can't tell how old the table is.
+	// configPollWait and peersPollWait are how long one long poll for changes stays open. A
+	// connection that goes silent is noticed pollTimeoutMargin later; until then the polling node
+	// and its followers can't tell how old the table is.
 	configPollWait = 700 * time.Millisecond
 	peersPollWait  = 3 * time.Second
-	// peersEvery is the least time between two reads of the list of nodes. When all
-	// nodes restart in turn it changes many times a second; whoever asks a node that is
-	// gone finds out by asking.
+	// peersReadInterval is the minimum time between two reads of the list of nodes. When all nodes
+	// restart in turn, the list changes many times a second. A node that calls one which is gone
+	// finds out by the failed call.
 	peersReadInterval = time.Second
-	// nodesPatience is how long a node that starts waits for the list of nodes before
-	// it reads the other tables from the store: another node has them already, and a
-	// zone that starts at once would have the store send them to each.
+	// nodesLoadTimeout is how long a starting node waits for the list of nodes before it reads the
+	// other tables from the store. Another node has those tables already, and if a whole zone
+	// starts at once the store would have to send them to each node.
 	nodesLoadTimeout  = 500 * time.Millisecond
 	pollTimeoutMargin = 500 * time.Millisecond
-	// upstreamsEvery is how often the upstreams' changes are read: their heartbeats
-	// change rows many times a second, so a question that waits would not wait. An
-	// upstream that is leaving has to be known within 2 s.
+	// upstreamsReadInterval is the time between two reads of the upstreams' changes. Heartbeats
+	// change their rows many times a second, so a long poll would return at once. A leaving
+	// upstream has to be known within 2 s.
 	upstreamsReadInterval = 800 * time.Millisecond
-	// readTimeout bounds a read that does not wait: the store may answer sixty times
-	// slower than its usual 4 ms.
+	// readTimeout bounds a read that is not a long poll. The store may take sixty times its usual 4
+	// ms.
 	readTimeout = 800 * time.Millisecond
-	// retryPause is the pause after a failed read; it doubles with each further one
-	// up to longestRetryPause. All nodes read at once while the store is away, and
-	// each call counts; after its return a change has seconds to be in force.
+	// readRetryPause is the pause after a failed read; it doubles with each further failure up to
+	// maxReadRetryPause. All nodes retry at once while the store is unavailable, and each call
+	// costs; after the store's return there are seconds left for a change to be in force.
 	readRetryPause    = 250 * time.Millisecond
 	maxReadRetryPause = 1500 * time.Millisecond
 )
 
-// errOld is the error of an answer that is older than what is known.
+// errStaleAnswer reports an answer of the store that is older than this node's table.
 var errStaleAnswer = errors.New("the store's answer is older than what is known")
 
-// read brings the watch up to date once, and says whether its rows may have changed.
+// readStore updates the table from the store once, and reports whether its rows may have changed.
+// wait is how long a poll for changes stays open, reason what the call is counted as.
 func (n *Node) readStore(ctx context.Context, local *localTable, wait time.Duration, reason callReason) (bool, error) {
 	after, synced := local.readPosition()
 	if !synced {
@@ -89,14 +90,15 @@
 		return false, err
 	}
 	rowsChanged := local.mergeChanges(page)
-	// The store may have looked as early as the question was sent, or as its wait was over.
+	// The store may have looked as early as the call was sent, or as late as the wait was over. The
+	// table is confirmed as of the latest time that is certain.
 	local.confirmAt(began.Add(min(n.Now().Sub(began), wait)))
 
 	return rowsChanged, nil
 }
 
-// keep keeps one table up to date until the node stops, and calls changed after
-// each read that may have changed it.
+// keepCurrent keeps one table up to date until the node stops, and calls onChange after each read
+// that may have changed it. minInterval is the minimum time between two reads of the store.
 func (n *Node) keepCurrent(ctx context.Context, local *localTable, wait, minInterval time.Duration, onChange func()) {
 	if local != n.localTables[n.settings.Tables.Peers] {
 		n.awaitNodeList(ctx)
@@ -104,7 +106,7 @@
 	var mu sync.Mutex
 	notify := onChange
 	onChange = func() {
-		// A question beside the following may bring news at the same time as that.
+		// refreshIfStale may find a change at the same time as followSource or a read does.
 		mu.Lock()
 		defer mu.Unlock()
 		notify()
@@ -112,7 +114,7 @@
 	n.spawn(func(ctx context.Context) { n.refreshIfStale(ctx, local, onChange) })
 	var directReadUntil time.Time
 	failedReads, lostInRow := 0, 0
-	// told says that the last question was answered, and by the store.
+	// storeAnswered is true if the last read was made of the store and succeeded.
 	storeAnswered := false
 	for ctx.Err() == nil {
 		if n.Now().After(directReadUntil) {
@@ -154,7 +156,7 @@
 	}
 }
 
-// awaitNodes waits until the list of nodes is known, or its time is over.
+// awaitNodeList waits until the list of nodes is known, for nodesLoadTimeout at most.
 func (n *Node) awaitNodeList(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -163,11 +165,11 @@
 	}
 }
 
-// waitAfter is how long a question for changes stays open; told says that the store has
-// answered the one before.
+// nextPollWait returns how long the next poll for changes stays open; storeAnswered is true if the
+// store answered the previous one.
 //
-// The first one after a failure, and of a node that followed another until now, is to tell
-// at once: until it is answered this node counts as out of date, and all who follow it
+// The first poll after a failure, and the first one of a node that has followed a source until now,
+// is to return at once. Until it is answered this node counts as out of date, and all its followers
 // would ask the store themselves.
 func nextPollWait(storeAnswered bool, wait time.Duration) time.Duration {
 	if !storeAnswered {
@@ -177,7 +179,8 @@
 	return wait
 }
 
-// readOnce reads the store once, or a peer if the store does not answer.
+// readStoreOrPeer reads the table from the store once, or from a peer if the store does not answer.
+// It returns the error of the store.
 func (n *Node) readStoreOrPeer(ctx context.Context, local *localTable, wait time.Duration, reason callReason, onChange func()) error {
 	rowsChanged, err := n.readStore(ctx, local, wait, reason)
 	if ctx.Err() != nil {
@@ -201,10 +204,11 @@
 	return err
 }
 
-// askPeers reads the table from another node, because the store does not answer this one.
+// readFromPeers reads the table from another node because the store does not answer this one, and
+// reports whether its rows may have changed.
 //
-// The store can turn some nodes away while it serves the others, and revoked keys
-// and leaving upstreams have to be known to all.
+// The store can refuse some nodes while it serves others, and every node has to know of revoked
+// keys and leaving upstreams.
 func (n *Node) readFromPeers(ctx context.Context, local *localTable) bool {
 	for _, peer := range n.samplePeers() {
 		change, status, err := n.peers.ReadTable(ctx, peer.Address, local.name, local.snapshot())
@@ -225,11 +229,11 @@
 	return false
 }
 
-// askAtOnce is how many peers one failed read asks: with half of the nodes cut
-// off, three miss the others once in eight reads.
+// peersPerFailedRead is the number of peers asked after a failed read. If half of the nodes are cut
+// off from the store, three random peers are all among them once in eight reads.
 const peersPerFailedRead = 3
 
-// somePeers returns other nodes, others each time.
+// samplePeers returns up to peersPerFailedRead other nodes, chosen at random at each call.
 func (n *Node) samplePeers() []chuterelay.Peer {
 	others := n.listedPeers()
 	others = slices.DeleteFunc(others, func(p chuterelay.Peer) bool { return p.Name == n.settings.Self.Name })
--- a/internal/chutegate/ready.go
+++ b/internal/chutegate/ready.go
@@ -5,37 +5,39 @@
 	"time"
 )
 
-// startHold is how long after its start a node lets requests wait until it knows the
-// configuration and the upstreams. It mostly takes 0.1 s, with thousands of upstreams
-// 0.5 s. Refused at once, their callers go to another node that has started as late.
+// startupWait is how long after its start a node lets requests wait for the configuration and the
+// list of upstreams. Loading them usually takes 0.1 s, with thousands of upstreams 0.5 s. If the
+// node refused them at once, the callers would go to another node that has started just as late.
 const startupWait = time.Second
 
-// quarantineHold is how long after its start a node lets requests wait until it knows which
-// are set aside. It mostly takes some milliseconds more than the rest. When all nodes start
-// at once, the callers of a poison request come back to all of them at once, and each node
-// that knows nothing ends an upstream. Without the store a node serves without that knowledge.
+// quarantineWait is how long after its start a node lets requests wait for the list of quarantined
+// requests. Loading it usually takes some milliseconds more than the rest. When all nodes start at
+// once, the callers of a poison request retry at all of them, and each node without the list would
+// let it crash an upstream. If the store is unavailable, the node serves without the list.
 const quarantineWait = 300 * time.Millisecond
 
-// Ready says whether the node can serve new callers.
+// Ready reports whether the node can serve new callers.
 func (n *Node) Ready() bool {
 	return n.hasRequiredTables() && !n.draining.Load()
 }
 
-// knowsAll says whether the node knows what it needs to serve anybody.
+// hasRequiredTables reports whether the node has the configuration and the list of upstreams,
+// without which it serves nobody.
 func (n *Node) hasRequiredTables() bool {
 	return n.config.Load() != nil && n.upstreamsLoaded.Load()
 }
 
-// noteKnown lets requests go on that wait for the node to know what it needs.
+// signalIfRequiredLoaded releases the requests that wait for the required tables, once the node has
+// them.
 func (n *Node) signalIfRequiredLoaded() {
 	if n.hasRequiredTables() {
 		n.requiredLoadedOnce.Do(func() { close(n.requiredLoaded) })
 	}
 }
 
-// awaitKnown lets a request of a node that has just started wait until the node knows
-// what it needs, up to a part of the caller's time; 0 is no bound. A node that knows
-// nothing for longer refuses at once.
+// awaitRequiredTables lets a request wait for the tables that a node needs, if the node has just
+// started. bound limits the wait to a part of the caller's time; 0 is no limit. A node that still
+// lacks the tables after startupWait does not let requests wait any longer.
 func (n *Node) awaitRequiredTables(ctx context.Context, bound time.Duration) {
 	began := n.clock.Now()
 	if !n.hasRequiredTables() {
@@ -49,7 +51,8 @@
 	n.awaitSignal(ctx, quarantineWait, bound, n.quarantineLoaded)
 }
 
-// hold waits until something is known, up to a time after the start and the bound.
+// awaitSignal waits until signal is closed, until the node has run for maxAge, or for the bound if
+// that is above 0.
 func (n *Node) awaitSignal(ctx context.Context, maxAge, bound time.Duration, signal <-chan struct{}) {
 	left := maxAge - n.clock.Since(n.started)
 	if bound > 0 {
--- a/internal/chutegate/ready_test.go
+++ b/internal/chutegate/ready_test.go
@@ -13,9 +13,9 @@
 )
 
 func TestStartHold(t *testing.T) {
-	// All nodes are killed and start again. A balancer sends callers to them at once; a
-	// tenth of a second later they know what they need. Turned away, the callers would
-	// meet other nodes that have started as late.
+	// All nodes are killed and start again. A load balancer sends callers to them at once, a tenth
+	// of a second before they have the tables that they need. Callers that are refused would reach
+	// other nodes that have started just as late.
 	start := func() (*Node, *clockwork.FakeClock) {
 		clock := clockwork.NewFakeClock()
 		n := New(Settings{}, clock, zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
@@ -46,7 +46,7 @@
 		<-done
 	})
 
-	t.Run("it waits for a part of its caller's time at most", func(t *testing.T) {
+	t.Run("a request waits for a part of its caller's time at most", func(t *testing.T) {
 		c := qt.New(t)
 		n, clock := start()
 		done := await(n, 300*time.Millisecond)
@@ -55,15 +55,15 @@
 		<-done
 	})
 
-	t.Run("a node that knows nothing for longer refuses at once", func(*testing.T) {
+	t.Run("a node that still lacks the tables refuses at once", func(*testing.T) {
 		n, clock := start()
 		clock.Advance(startupWait)
 		<-await(n, 0)
 	})
 
-	t.Run("it waits for the quarantine too, for a moment", func(t *testing.T) {
-		// A poison request's callers come back to all nodes at once. Without the store a
-		// node can't know, and serves all the same.
+	t.Run("a request also waits for the quarantine, but not as long", func(t *testing.T) {
+		// The callers of a poison request retry at all nodes at once. Without the store a node
+		// can't load the quarantine, and serves all the same.
 		c := qt.New(t)
 		clock := clockwork.NewFakeClock()
 		n := New(Settings{}, clock, zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
--- a/internal/chutegate/refresh.go
+++ b/internal/chutegate/refresh.go
@@ -7,47 +7,52 @@
 )
 
 const (
-	// DefaultWithin is the time within which a confirmed change has to be in force at every
-	// node, where the settings do not say.
+	// DefaultWithin is the time within which a confirmed change has to be in force at every node if
+	// the settings give none.
 	DefaultWithin = 2 * time.Second
-	// shortestStale bounds how soon a table counts as stale: one that is read every
-	// upstreamsEvery would otherwise be asked for beside each read.
+	// minStaleAfter is the minimum age at which a table counts as stale. With a shorter one, a
+	// table that is read every upstreamsReadInterval would be asked for in between its regular
+	// reads.
 	minStaleAfter = time.Second
-	// unboundStale is the same for tables whose changes have no such time: the reader's
-	// question alone stays open for peersWait.
+	// unboundedStaleAfter is the age at which a table counts as stale if its changes have no time
+	// bound. The long poll alone, of the node that reads the store, takes up to peersPollWait.
 	unboundedStaleAfter = peersPollWait + 3*minStaleAfter/2
-	// zonePart is the part of staleAfter by which a node waits longer if the one that it
-	// follows is of its zone: what the first node of a zone learns reaches the others at
-	// once. spreadPart is the part over which questions of a zone are spread.
+	// A node whose source is in its own zone waits longer by staleAfter/sameZoneDivisor, because
+	// what the first node of a zone learns reaches the others at once. The reads of a zone's nodes
+	// are spread over staleAfter/spreadDivisor.
 	sameZoneDivisor, spreadDivisor = 5, 10
-	// lostPart is the part of staleAfter by which the word of the node that is followed has
-	// to be older when the store has answered, so that this one is taken to have lost it.
+	// staleAfter/lostSourceDivisor is added to staleAfter to get the age at which a source counts
+	// as having lost the store, if its table is still that old after the store has answered this
+	// node.
 	lostSourceDivisor = 2
-	// askAgain is the pause after the first question at the store that failed. It doubles
-	// with each further one up to longestAskAgain: while the store is away from all nodes,
-	// hundreds of them asking add nothing. After its return a node counts as in touch 3 s
-	// later, and a question that was lost on the way takes readTimeout of these.
+	// inPlaceRetryPause is the pause after the first failed read in place of the source. It doubles
+	// with each further failure up to maxInPlaceRetryPause, because while the store is unavailable
+	// to all nodes, reads by hundreds of them achieve nothing. A node counts as in touch 3 s after
+	// the store's return, and a read that was lost on the way takes readTimeout of these 3 s.
 	inPlaceRetryPause    = 1400 * time.Millisecond
 	maxInPlaceRetryPause = 2 * time.Second
-	// failureTells is how long one table's question that failed tells for the others.
+	// sharedFailureAge is how long a failed read of one table also counts as a failure for the
+	// other tables.
 	sharedFailureAge = 700 * time.Millisecond
-	// followCheck is how often a node that follows nobody looks whether it does by now.
+	// followCheckInterval is how often a node without a source checks whether it has one now.
 	followCheckInterval = 500 * time.Millisecond
 )
 
-// staleAfter is when a table has to be asked for, so that a change is in force within a time.
+// staleAfterFor returns the age at which a table has to be read so that a change is in force within
+// the bound.
 func staleAfterFor(bound time.Duration) time.Duration {
 	return max(minStaleAfter, bound/2)
 }
 
-// questions are the questions at the store that have failed in a row.
+// readFailures is the number of reads in place of the source that have failed in a row, and when
+// the last one failed.
 type readFailures struct {
 	count  int
 	lastAt time.Time
 }
 
-// due is when the store is to be asked for a table that was known to be up to date as of a
-// time and counts as stale after another.
+// nextReadAt returns when the store is to be read next, for a table that was up to date at
+// confirmedAt and is stale staleAfter later.
 func (failures readFailures) nextReadAt(confirmedAt time.Time, staleAfter time.Duration) time.Time {
 	due := confirmedAt.Add(staleAfter)
 	if failures.count == 0 || confirmedAt.After(failures.lastAt) {
@@ -61,7 +66,7 @@
 	return due
 }
 
-// with returns the questions after one more that ended at a time.
+// withResult returns the failures after one more read, which ended at the given time.
 func (failures readFailures) withResult(succeeded bool, at time.Time) readFailures {
 	if succeeded {
 		return readFailures{}
@@ -70,9 +75,9 @@
 	return readFailures{count: failures.count + 1, lastAt: at}
 }
 
-// refresh asks the store for a table in place of the node that is followed, whenever the table
-// was not known to be up to date for too long. The time is measured here, from the moment of
-// the store's answer on: waits of nodes that find out one after the other would add up.
+// refreshIfStale reads a table from the store in place of the source whenever the table has not
+// been confirmed for too long. Each node measures that time itself, from the moment of the store's
+// answer: otherwise the waits of nodes that learn from one another would add up.
 func (n *Node) refreshIfStale(ctx context.Context, local *localTable, onChange func()) {
 	var failures readFailures
 	spread := rand.Float64() //nolint:gosec // spreads questions, no secret
@@ -97,9 +102,9 @@
 	}
 }
 
-// askInPlace asks the store once because the table is stale, and returns the questions with this
-// one. If the node that is followed is still out of date after the answer, the fault is on the way
-// to it, and another one is followed from now on.
+// readInPlaceOfSource reads the store once because the table is stale, and returns the failures
+// including this read. If the source is still out of date after the store has answered, the fault
+// is on the source's path to the store, and another source is followed from then on.
 func (n *Node) readInPlaceOfSource(ctx context.Context, local *localTable, failures readFailures, onChange func()) readFailures {
 	if failedAt := n.storeFailedAt.Load(); failures.count > 0 && failedAt != nil && n.Now().Sub(*failedAt) < sharedFailureAge {
 		local.recordStoreResult(false, n.Now())
--- a/internal/chutegate/region_test.go
+++ b/internal/chutegate/region_test.go
@@ -19,7 +19,7 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// memoryStore is a store without a network that can be away from some nodes.
+// memoryStore is a store in memory that can be unavailable to some nodes.
 type memoryStore struct {
 	mu          sync.Mutex
 	version     uint64
@@ -27,11 +27,12 @@
 	changes     map[string][]Row
 	changed     chan struct{}
 	unavailable map[string]bool
-	// silent holds back the answers to a node until its channel is closed.
+	// blocked holds back the answers to a node until the node's channel is closed.
 	blocked map[string]chan struct{}
-	// old is the version up to which a node is told of changes; of all if it is not there.
+	// staleVersion is the version up to which a node is told of changes. A node without an entry is
+	// told of all.
 	staleVersion map[string]uint64
-	// cut is the nodes whose questions, open ones too, are never answered.
+	// cutOff is the set of nodes whose calls, including open ones, are never answered.
 	cutOff map[string]bool
 }
 
@@ -67,7 +68,7 @@
 	s.unavailable[node] = unavailable
 }
 
-// setCut cuts a node off from the store, or ends that.
+// setCutOff starts or ends a node's being cut off from the store.
 func (s *memoryStore) setCutOff(node string, cutOff bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,10 +76,11 @@
 	s.cutOff[node] = cutOff
 }
 
-// oldBy is how many changes an old answer is behind: more than any node that asks.
+// staleBy is the number of changes that a stale answer is behind, more than any node that asks is
+// behind.
 const staleBy = 40
 
-// setOld has the store answer a node with what it held a while ago, or ends that.
+// setStale makes the store answer a node with an earlier state, or ends that.
 func (s *memoryStore) setStale(node string, stale bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +91,8 @@
 	}
 }
 
-// lose waits until a question of a node that is cut off is given up.
+// waitIfCutOff waits until ctx of a call ends, if the calling node is cut off. Otherwise it returns
+// nil at once.
 func (s *memoryStore) waitIfCutOff(ctx context.Context, node string) error {
 	s.mu.Lock()
 	cut := s.cutOff[node]
@@ -102,7 +105,7 @@
 	return ctx.Err()
 }
 
-// silence holds back all answers to a node, and returns what ends that.
+// blockAnswers holds back all answers to a node, and returns a function that releases them.
 func (s *memoryStore) blockAnswers(node string) func() {
 	released := make(chan struct{})
 	s.mu.Lock()
@@ -113,7 +116,7 @@
 	return sync.OnceFunc(func() { close(released) })
 }
 
-// awaitAnswer waits as long as the store is silent to a node.
+// waitIfBlocked waits as long as answers to the node are held back.
 func (s *memoryStore) waitIfBlocked(node string) {
 	s.mu.Lock()
 	released := s.blocked[node]
@@ -123,7 +126,7 @@
 	}
 }
 
-// since returns the changes after a version, and what is closed by the next one.
+// since returns the changes after a version, and a channel that is closed at the next change.
 func (s *memoryStore) since(node, table string, after uint64) (Page, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +147,7 @@
 	return page, s.changed, nil
 }
 
-// changesFor waits for changes of a table as one node asks for them.
+// changesFor implements Store.AwaitChanges for one node.
 func (s *memoryStore) changesFor(ctx context.Context, node, table string, after uint64, wait time.Duration) (Page, error) {
 	s.waitIfBlocked(node)
 	until := time.After(wait)
@@ -166,7 +169,7 @@
 	}
 }
 
-// wholeFor reads a whole table for one node.
+// wholeFor implements Store.ReadAll for one node.
 func (s *memoryStore) wholeFor(ctx context.Context, node, table string) (Page, error) {
 	s.waitIfBlocked(node)
 	if err := s.waitIfCutOff(ctx, node); err != nil {
@@ -187,7 +190,7 @@
 	return page, err
 }
 
-// seam returns the store as one node reaches it.
+// storeFor returns the store as one node reaches it.
 func (s *memoryStore) storeFor(node string) Store {
 	return Store{
 		AwaitChanges: func(ctx context.Context, table string, after uint64, wait time.Duration) (Page, error) {
@@ -212,7 +215,7 @@
 	}
 }
 
-// change writes and deletes rows for a node, unless the store is away from it.
+// change writes and deletes rows for a node, unless the store is unavailable to it.
 func (s *memoryStore) change(node, table string, put []Row, remove []string) error {
 	if _, _, err := s.since(node, table, 0); err != nil {
 		return err
@@ -227,7 +230,7 @@
 	return nil
 }
 
-// zone is a region's nodes with their store.
+// testRegion is the nodes of one region and their store.
 type testRegion struct {
 	*qt.C
 
@@ -237,7 +240,8 @@
 	stops map[string]func()
 }
 
-// newZones starts nodes in two zones that know of each other, as after a restart of all.
+// newTestRegion starts the nodes of two zones all at once. They know of each other from the start,
+// as after a restart of all nodes.
 func newTestRegion(t *testing.T, nodesPerZone int) *testRegion {
 	region := &testRegion{C: qt.New(t), store: newMemoryStore(), nodes: map[string]*Node{}, stops: map[string]func(){}}
 	listeners := map[string]net.Listener{}
@@ -288,7 +292,8 @@
 	Config: "config", ConfigKey: "c", Upstreams: "upstreams", Peers: "peers", Ledger: "ledger", Quarantine: "quarantine",
 }
 
-// testDecoders read rows of a memoryStore: a configuration is its version, an upstream its state.
+// testDecoders decode the rows of a memoryStore: a configuration is its version, an upstream its
+// state.
 func testDecoders() Decoders {
 	return Decoders{
 		Config: func(value []byte) (chuteroute.Config, error) {
@@ -304,12 +309,12 @@
 	}
 }
 
-// evacuatedZone reads the keys of evacuated zones in tests.
+// evacuatedZone returns the zone that a row of a memoryStore marks as evacuated.
 func evacuatedZone(key string) (string, bool) {
 	return strings.CutPrefix(key, "evacuate/")
 }
 
-// kill ends a node without a word; its row stays.
+// kill stops a node without notice; its row stays in the store.
 func (region *testRegion) kill(name string) {
 	region.stops[name]()
 	delete(region.nodes, name)
@@ -326,7 +331,8 @@
 	return ""
 }
 
-// expectConfig waits until all nodes have a configuration in force, and checks that none goes back.
+// expectConfig waits until all nodes have a version of the configuration in force, and checks that
+// none goes back.
 func (region *testRegion) expectConfig(version uint64) {
 	last := map[string]uint64{}
 	for behind := true; behind; time.Sleep(5 * time.Millisecond) {
@@ -340,7 +346,8 @@
 	}
 }
 
-// expectState waits until all nodes know an upstream's state; empty is none.
+// expectUpstreamState waits until all nodes know an upstream's state; empty means that it is not
+// listed.
 func (region *testRegion) expectUpstreamState(key, state string) {
 	for behind := true; behind; time.Sleep(5 * time.Millisecond) {
 		behind = false
@@ -351,14 +358,14 @@
 	}
 }
 
-// Twenty nodes a zone make a second level: the first of a zone serves five others, and
-// these the rest.
+// testNodesPerZone is enough for a second level of followers: with twenty nodes in a zone, the
+// zone's first node serves five others, and these serve the rest.
 const testNodesPerZone = 20
 
 func TestFollowing(t *testing.T) {
 	region := newTestRegion(t, testNodesPerZone)
 
-	t.Run("what the store holds reaches every node", func(*testing.T) {
+	t.Run("changes in the store reach every node", func(*testing.T) {
 		region.expectConfig(1)
 		region.expectUpstreamState("u", "ready")
 		region.store.put("upstreams", "u", "draining")
@@ -367,7 +374,7 @@
 		region.expectUpstreamState("u", "draining")
 	})
 
-	t.Run("the node that reads the store is killed, and what changes then reaches the others", func(*testing.T) {
+	t.Run("the node that reads the store is killed, and later changes reach the others", func(*testing.T) {
 		region.kill(region.reader())
 		region.store.put("upstreams", "u", "")
 		region.store.put("config", "c", "3")
@@ -387,9 +394,9 @@
 		region.expectUpstreamState("v", "ready")
 	})
 
-	t.Run("the store is away from all of a zone, and a key is revoked meanwhile", func(*testing.T) {
-		// The store can turn some nodes away while it serves the others: what they
-		// follow has lost it too.
+	t.Run("the store is unavailable to a whole zone, and a key is revoked meanwhile", func(*testing.T) {
+		// The store can refuse some nodes while it serves others. The sources of the refused nodes
+		// have lost the store too.
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, p.Zone == "z0")
 		}
@@ -397,7 +404,7 @@
 		region.expectConfig(5)
 	})
 
-	t.Run("the store is back after it was away from all", func(*testing.T) {
+	t.Run("the store is back after it was unavailable to all nodes", func(*testing.T) {
 		for _, p := range region.peers {
 			region.store.setUnavailable(p.Name, true)
 		}
@@ -412,10 +419,10 @@
 }
 
 func TestFollowedWhileAsking(t *testing.T) {
-	// The store turns the region's reader away and is silent to the first node of the other
-	// zone, which asks it since what it follows is out of date. A key is revoked. Nodes that
-	// reach the store tell the reader, and the reader tells those who follow it; one that
-	// left it to ask would serve the revoked key until its own question has failed.
+	// The store refuses the reader, and does not answer the first node of the other zone, which
+	// asks the store because its source is out of date. A key is revoked. Nodes that reach the
+	// store tell the reader, and the reader tells its followers. A node that stopped following in
+	// order to ask would serve the revoked key until its own call has failed.
 	region := newTestRegion(t, maxDirectReaders)
 	region.expectConfig(1)
 	reader := region.reader()
@@ -426,7 +433,7 @@
 	region.expectConfig(2)
 }
 
-// firstOfOtherZone returns the node that follows the reader for its zone.
+// firstOfOtherZone returns the node that follows the reader for the other zone.
 func (region *testRegion) firstOfOtherZone(reader string) string {
 	for _, p := range region.peers {
 		source, follows := chuterelay.Source(p, region.peers)
--- a/internal/chutegate/reports.go
+++ b/internal/chutegate/reports.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxReports bounds the rows of one transaction, and maxQueued those that wait for the
-	// store: a node has calls at some tens of upstreams.
+	// maxReportsPerBatch bounds the rows of one transaction or gossip message, and maxQueuedReports
+	// those that wait for the store. A node has calls at some tens of upstreams at a time.
 	maxReportsPerBatch = 64
 	maxQueuedReports   = 1024
-	// maxSeen bounds the reports that are remembered so as not to be passed on twice.
+	// maxKnownReports bounds the reports that are remembered in order not to pass them on twice.
 	maxKnownReports = 8192
 )
 
-// reportQueue holds rows that are to be told or written; of one key the newest counts.
+// reportQueue holds rows to be sent or written; for each key only the newest row is kept.
 type reportQueue struct {
 	mu   sync.Mutex
 	rows map[string][]byte
-	// due has an item while there are rows.
+	// ready has an item while there are rows.
 	ready chan struct{}
 }
 
@@ -29,7 +29,7 @@
 	return &reportQueue{rows: map[string][]byte{}, ready: make(chan struct{}, 1)}
 }
 
-// add queues a row; false means that too many wait.
+// add queues a row; false means that the queue is full.
 func (q *reportQueue) add(row chutefeed.Row) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -43,7 +43,7 @@
 	return true
 }
 
-// addBack queues rows that could not be written, unless there are newer ones by now.
+// requeue queues rows again that could not be written, except those with a newer row in the queue.
 func (q *reportQueue) requeue(rows []chutefeed.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -56,7 +56,7 @@
 	q.signal()
 }
 
-// wake says that there are rows; the caller holds mu.
+// signal puts an item into ready; the caller holds mu.
 func (q *reportQueue) signal() {
 	select {
 	case q.ready <- struct{}{}:
@@ -64,7 +64,7 @@
 	}
 }
 
-// next takes out the rows of one message or transaction.
+// takeBatch removes and returns the rows of one message or transaction.
 func (q *reportQueue) takeBatch() []chutefeed.Row {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -83,13 +83,13 @@
 	return rows
 }
 
-// seenReports are the rows that this node has told or heard.
+// reportSet holds the keys and hashes of rows that this node has sent or received.
 type reportSet struct {
 	mu   sync.Mutex
 	sums map[string]uint64
 }
 
-// isNews notes a row and says whether it is new here.
+// addIfNew records a row and reports whether the set did not contain it with this value.
 func (s *reportSet) addIfNew(row chutefeed.Row) bool {
 	sum := xxhash.Sum64(row.Value)
 	s.mu.Lock()
@@ -99,7 +99,7 @@
 		return false
 	}
 	if s.sums == nil || len(s.sums) >= maxKnownReports {
-		// Forgotten reports are passed on once more at most.
+		// A forgotten report is passed on one more time at most.
 		s.sums = map[string]uint64{}
 	}
 	s.sums[row.Key] = sum
--- a/internal/chutegate/send.go
+++ b/internal/chutegate/send.go
@@ -14,14 +14,13 @@
 )
 
 const (
-	// maxAnswer bounds a whole answer that is held in memory until it is known to
-	// be complete.
+	// maxAnswerBytes bounds an answer that is buffered in memory until it is known to be complete.
 	maxAnswerBytes = 16 << 20
-	// maxEvent bounds one event of a stream.
+	// maxEventBytes bounds one event of a stream.
 	maxEventBytes = 1 << 20
 )
 
-// startSend begins a call beside the loop.
+// startSend starts a call to an upstream in a goroutine of its own.
 func (n *Node) startSend(s chuterelay.Send) {
 	req, ok := n.requests[s.Handle]
 	if !ok {
@@ -31,8 +30,9 @@
 	req.attempts[s.Attempt] = cancel
 	n.spawn(func(context.Context) {
 		defer cancel()
-		// A cancelled attempt may still hand an event over, while the next one asks to go on
-		// after the last that the caller has.
+		// A cancelled attempt may still emit an event while the next attempt reads lastEventID to
+		// ask the upstream to continue after that event. The lock lets the next one start only
+		// after the cancelled one has ended.
 		req.streamLock.Lock()
 		defer req.streamLock.Unlock()
 		a := &attempt{node: n, request: req, send: s}
@@ -44,17 +44,17 @@
 	})
 }
 
-// attempt is one call under way.
+// attempt is one call to an upstream in progress.
 type attempt struct {
 	node     *Node
 	request  *request
 	send     chuterelay.Send
 	buffered *bufferedAnswer
-	// heard is when the upstream last showed a sign of life.
+	// lastActivity is when the upstream last showed that it is alive.
 	lastActivity atomic.Pointer[time.Time]
 }
 
-// file keeps a whole answer for Deliver; the loop calls it.
+// keepAnswer stores a buffered answer for deliverAnswer; the event loop calls it.
 func (a *attempt) keepAnswer() {
 	if a.buffered != nil {
 		a.request.bufferedAnswers[a.send.Attempt] = *a.buffered
@@ -82,11 +82,12 @@
 	ended.Leaving = answer.Leaving
 	ended.Load, ended.Cold, ended.Limit = answer.Load, answer.Cold, answer.Limit
 	if answer.Misaddressed {
-		// Another incarnation has the address; its limit is none of this one.
+		// Another incarnation has the address, so the limit is not that of the intended one.
 		ended.Limit = nil
 	}
 	if s.Streams && answer.Status == http.StatusOK && answer.Signed && answer.IsEventStream && !answer.Altered {
-		// Load and limit were told with the first event; by its end they are old.
+		// Load and limit were reported with the first event; by the end of the stream they are out
+		// of date.
 		ended.Load, ended.Limit = nil, nil
 		ended.Events, err = a.relayStream(ctx, answer)
 		ended.End = chuterelay.EndAnswered
@@ -114,7 +115,7 @@
 	return ended
 }
 
-// broken says what a failed exchange means, and whether the upstream has ended with it.
+// withFailure adds to ended what a failed exchange means, and whether the upstream has ended.
 func (a *attempt) withFailure(ctx context.Context, ended chuterelay.AttemptEnded, err error) chuterelay.AttemptEnded {
 	ended.End = a.classifyError(ctx, err)
 	ended.Detail = err.Error()
@@ -128,7 +129,7 @@
 	errEventOrder    = errors.New("an event is missing, doubled or cut off")
 )
 
-// judge says what a whole answer means, and whether it may be passed on.
+// classifyAnswer returns what a complete answer means, and whether it may be passed on.
 func classifyAnswer(answer Answer, headSent bool) (chuterelay.AttemptEnd, bool) {
 	switch {
 	case answer.InputGone:
@@ -138,10 +139,10 @@
 	case answer.NotRun:
 		return chuterelay.EndRefused, false
 	case headSent:
-		// The caller has the beginning of a stream; nothing but its events can follow.
+		// The caller has received the head of a stream, which only the stream's events can follow.
 		return chuterelay.EndErrored, false
 	case answer.Status < http.StatusBadRequest:
-		// Success that the upstream does not vouch for may be anybody's bytes.
+		// A success that the upstream has not signed may come from anybody.
 		if !answer.Signed || answer.Altered {
 			return chuterelay.EndBroken, false
 		}
@@ -156,8 +157,8 @@
 	}
 }
 
-// promisesNotRun lists the statuses from which callers conclude that nothing ran.
-// Passed on from an upstream that does not say so itself they could be false.
+// impliesNotRun reports whether callers conclude from a status that nothing ran. If the upstream
+// has not stated that itself, the conclusion may be false, so such a status is not passed on.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest,
@@ -168,7 +169,7 @@
 	}
 }
 
-// pass hands a stream's events to the caller as they come, and returns how many.
+// relayStream passes a stream's events to the caller as they arrive, and returns their number.
 func (a *attempt) relayStream(ctx context.Context, answer Answer) (int, error) {
 	reader := newEventReader(bufio.NewReader(answer.Body), maxEventBytes)
 	count := 0
@@ -203,11 +204,12 @@
 	}
 }
 
-// move hands one piece to the caller's goroutine; false means that the attempt was cancelled.
+// emit passes one piece to the goroutine that serves the caller; false means that the attempt was
+// cancelled.
 func (a *attempt) emit(ctx context.Context, piece streamPiece) bool {
 	if ctx.Err() != nil {
-		// Where both are possible a select takes either: the head of an answer could be
-		// dropped and the event behind it handed over.
+		// If both cases are ready, select picks either: it could drop the head of an answer and
+		// still pass on the event after it.
 		return false
 	}
 	select {
@@ -218,7 +220,7 @@
 	}
 }
 
-// endOf says what a failed exchange means.
+// classifyError returns what a failed exchange means.
 func (a *attempt) classifyError(ctx context.Context, err error) chuterelay.AttemptEnd {
 	failure := asSendError(err)
 	switch {
@@ -233,7 +235,8 @@
 	}
 }
 
-// asSendError returns the typed error; one of unknown type proves nothing.
+// asSendError returns the *SendError in err's chain. Any other error is wrapped as one that proves
+// neither that the call was not sent nor that the upstream is silent.
 func asSendError(err error) *SendError {
 	var failure *SendError
 	if errors.As(err, &failure) {
--- a/internal/chutegate/send_test.go
+++ b/internal/chutegate/send_test.go
@@ -16,7 +16,7 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// eventsAnswer is a stream of some events.
+// eventsAnswer returns an answer that is a stream of events.
 func eventsAnswer(text string) Answer {
 	return Answer{Status: http.StatusOK, Signed: true, IsEventStream: true, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(text))}
 }
@@ -30,9 +30,9 @@
 
 func TestCancelledAttempt(t *testing.T) {
 	t.Run("nothing of a cancelled attempt reaches the caller", func(t *testing.T) {
-		// An upstream starts again just as its first event is there. The call is cancelled
-		// and goes on elsewhere. If the head of the answer is dropped and the event is not,
-		// the caller gets events under a status and headers that no upstream gave.
+		// An upstream restarts just as its first event arrives. The call is cancelled and repeated
+		// at another upstream. If the head of the answer is dropped but the event is not, the
+		// caller gets events under a status and headers that no upstream sent.
 		c := qt.New(t)
 		n := New(Settings{}, clockwork.NewFakeClock(), zerolog.Nop(), Store{}, Decoders{}, Upstreams{})
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/chutegate/serve.go
+++ b/internal/chutegate/serve.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// unreadyRetry is when a caller may come back to a node that knows no
-	// configuration yet; by then the balancer has other nodes for it.
+	// unreadyRetryAfter is the time after which a caller may retry that met a node without a
+	// configuration. By then the load balancer sends it to other nodes.
 	unreadyRetryAfter = 300 * time.Millisecond
-	// eventBacklog is how many events of a stream may wait for a slow caller before
-	// the upstream waits too.
+	// maxQueuedPieces is the number of pieces of a stream that may wait for a slow caller. Above it
+	// the upstream is made to wait too.
 	maxQueuedPieces = 16
 )
 
-// entry is what the node keeps of a request in flight.
+// request is what the node keeps of a request in flight.
 type request struct {
 	incoming *IncomingRequest
 	deadline clockwork.Timer
-	// moves carries what the caller gets, in order.
+	// pieces carries the pieces of a stream to the goroutine that serves the caller, in order.
 	pieces chan streamPiece
-	// final carries the end; it has room for it.
+	// result carries the result of the request; it has room for one.
 	result chan requestResult
-	// attempts are the calls under way, answers the whole answers that may be passed on.
+	// attempts holds the cancel functions of the calls in progress, bufferedAnswers the complete
+	// answers that may be passed on.
 	attempts        map[uint64]context.CancelFunc
 	bufferedAnswers map[uint64]bufferedAnswer
-	// turn is held by the attempt that hands over events, lastEvent is the last of them;
-	// begun says that the head of the answer was handed over.
+	// streamLock is held by the attempt that emits events. lastEventID is the number of the last
+	// event emitted, and headSent is true once the head of the answer has been emitted.
 	streamLock  sync.Mutex
 	lastEventID int
 	headSent    bool
 }
 
-// move is one piece of a stream for the caller.
+// streamPiece is one piece of a stream for the caller: its head or an event.
 type streamPiece struct {
 	isHead bool
 	status int
@@ -47,22 +48,23 @@
 	event  []byte
 }
 
-// whole is an upstream's whole answer.
+// bufferedAnswer is a complete answer of an upstream.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// final is the end of a request.
+// requestResult is how a request ended. Without a refusal and an answer, a stream ended regularly.
 type requestResult struct {
 	refusal *chuterelay.Refusal
 	answer  *bufferedAnswer
-	// dropped says that nobody waits for an answer.
+	// abandoned is true if nobody waits for an answer.
 	abandoned bool
 }
 
-// Serve relays one request and returns once its answer is out or its caller is gone.
+// Serve relays one request. It returns once the answer is written or the request has ended because
+// its caller left.
 func (n *Node) Serve(ctx context.Context, in *IncomingRequest, out Output) {
 	n.awaitRequiredTables(ctx, in.Wait/3)
 	cfg, ok := n.Config()
@@ -89,8 +91,9 @@
 	n.writeAnswer(ctx, submission.Handle, req, out)
 }
 
-// unlessStale returns the refusal of a request that the configuration does not allow, or a
-// refusal that sends the caller to another node if a newer configuration may allow it by now.
+// asRetryableIfStale returns r, the refusal of a request that the configuration does not allow. If
+// a newer configuration may allow the request by now, it returns a refusal that makes the caller
+// retry at another node instead.
 func (n *Node) asRetryableIfStale(r chuterelay.Refusal) chuterelay.Refusal {
 	age, known := n.localTables[n.settings.Tables.Config].age(n.Now())
 	if known && age <= n.settings.ConfigWithin {
@@ -104,7 +107,8 @@
 	}
 }
 
-// submission works out what the reducer needs to know, or why the request is refused.
+// newSubmission returns what the reducer needs to know of a request, or the refusal if the
+// configuration does not allow it.
 func (n *Node) newSubmission(cfg chuteroute.Config, in *IncomingRequest) (chuterelay.Submission, *chuterelay.Refusal) {
 	pipeline, ok := cfg.Match(in.Host, in.Path)
 	if !ok {
@@ -130,7 +134,7 @@
 	}, nil
 }
 
-// await writes what the caller gets until the end.
+// writeAnswer writes to the caller what the request's attempts emit, and its result at the end.
 func (n *Node) writeAnswer(ctx context.Context, handle uint64, req *request, out Output) {
 	callerGone := ctx.Done()
 	headWritten := false
@@ -157,7 +161,7 @@
 		case piece := <-req.pieces:
 			write(piece)
 		case result := <-req.result:
-			// The last events were handed over ahead of the end.
+			// The last events were queued before the result.
 			for len(req.pieces) > 0 {
 				write(<-req.pieces)
 			}
@@ -176,7 +180,7 @@
 	}
 }
 
-// finish writes the end of an answer.
+// writeResult writes the end of an answer.
 func writeResult(result requestResult, headWritten bool, out Output) {
 	switch {
 	case result.abandoned && headWritten, result.refusal != nil && headWritten:
@@ -193,8 +197,9 @@
 	}
 }
 
-// logRefusal logs a refusal with the configuration that it follows from: its version, how long
-// ago it was known to be the newest one, and the node that it was heard from, empty for the store.
+// logRefusal logs a refusal with the configuration that it is based on: the version, the time since
+// it was last known to be the newest one, and the node that it was received from, empty for the
+// store.
 func (n *Node) logRefusal(in *IncomingRequest, r chuterelay.Refusal, cfg chuteroute.Config) {
 	local := n.localTables[n.settings.Tables.Config]
 	age, _ := local.age(n.Now())
--- a/internal/chutegate/source.go
+++ b/internal/chutegate/source.go
@@ -9,22 +9,23 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// followAbove is the number of nodes above which they follow each other in place of
-// reading the store. Each node that reads makes about three calls a second. Of so few
-// nodes as this each one reads: a lost reader would leave half of them out of date until
-// that shows.
+// maxDirectReaders is the number of nodes up to which each node reads the store itself. With more,
+// nodes follow each other instead, because each node that reads makes about three calls a second.
+// With so few, losing the one reader would leave half of the nodes out of date until the loss is
+// noticed.
 const maxDirectReaders = 3
 
-// lostNodes remembers nodes that were lost as sources of the store's tables.
+// lostNodeSet holds the nodes that were recently lost as sources of the store's tables.
 type lostNodeSet struct {
 	mu    sync.Mutex
 	until map[string]time.Time
-	// changes counts what was added.
+	// additions counts the calls of add.
 	additions int
 }
 
-// lostFor is how long a lost node is passed over: long enough for another to be
-// in use, and a row of a VM that is gone for good costs little.
+// lostNodePeriod is how long a lost node is not chosen as the source, long enough for another
+// source to be in use. If the VM is gone for good but its row stays, the failed attempt after each
+// period costs little.
 const lostNodePeriod = 10 * time.Second
 
 func (l *lostNodeSet) add(name string, now time.Time) {
@@ -38,7 +39,8 @@
 	l.additions++
 }
 
-// at returns the nodes that are lost by now, how long that is true, and the number of changes.
+// lostAt returns the nodes that count as lost at a time, when the first of them stops being lost,
+// and the number of additions so far.
 func (l *lostNodeSet) lostAt(now time.Time) (lost map[string]bool, until time.Time, additions int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,21 +62,20 @@
 	return lost, until, l.additions
 }
 
-// sourceChoice is the last answer of source and what it was made from. The question is
-// asked with each sign of life, several times a second, and an answer takes sorting
-// hundreds of nodes.
+// sourceChoice is a cached result of source with the inputs that it was computed from. source is
+// called at each keepalive, several times a second, and computing it sorts hundreds of nodes.
 type sourceChoice struct {
 	nodes         *[]chuterelay.Peer
 	lostAdditions int
 	draining      bool
-	// until is when a lost node counts again; zero if none is lost.
+	// validUntil is when the first lost node counts again; zero if none is lost.
 	validUntil time.Time
 	source     chuterelay.Peer
 	found      bool
 }
 
-// source returns the node that this one takes the store's tables from; false if it
-// reads the store itself, or if there are too few nodes for it to be worth it.
+// source returns the node that this one copies the store's tables from. It returns false if this
+// node reads the store itself, or if there are so few nodes that all do.
 func (n *Node) source() (chuterelay.Peer, bool) {
 	now := n.Now()
 	nodes := n.nodes.Load()
@@ -87,7 +88,7 @@
 	choice := &sourceChoice{nodes: nodes, lostAdditions: additions, draining: draining, validUntil: until}
 	if all := n.listedPeers(); len(all) > maxDirectReaders {
 		live := slices.DeleteFunc(all, func(p chuterelay.Peer) bool {
-			// A node that is shutting down is on no list, and reads for nobody.
+			// A node that is shutting down has been removed from the list, and serves no followers.
 			return lost[p.Name] || draining && p.Name == n.settings.Self.Name
 		})
 		choice.source, choice.found = chuterelay.Source(n.settings.Self, live)
@@ -97,7 +98,7 @@
 	return choice.source, choice.found
 }
 
-// Handlers answers other nodes.
+// Handlers returns the functions that answer requests of other nodes.
 func (n *Node) Handlers() chuteshare.Handlers {
 	return chuteshare.Handlers{
 		Now:      n.Now,
@@ -111,7 +112,8 @@
 	}
 }
 
-// shareTable hands a table as known to another node; one of no such name was never read.
+// tableForFollower returns a table as this node knows it, for another node. An unknown table is
+// returned as one that was never read.
 func (n *Node) tableForFollower(name string) chuteshare.Followed {
 	local, ok := n.localTables[name]
 	if !ok {
--- a/internal/chutegate/storecalls.go
+++ b/internal/chutegate/storecalls.go
@@ -5,27 +5,27 @@
 	"sync/atomic"
 )
 
-// callReason is why the store was called; each call is paid for.
+// callReason is why the store was called. Calls are counted by reason because each one is paid for.
 type callReason string
 
 const (
-	// callStart reads a whole table that was never read, callGap one whose history the
-	// store has forgotten.
+	// callStart reads a whole table that was never read, callGap a whole table after the store has
+	// dropped the history.
 	callStart callReason = "start"
 	callGap   callReason = "gap"
-	// callRead reads changes, callRetry does so after a read that failed.
+	// callRead reads changes, callRetry reads them again after a failed read.
 	callRead  callReason = "read"
 	callRetry callReason = "retry"
-	// callInPlace reads because the node that is followed has lost the store.
+	// callInPlace reads because the source does not keep the table up to date.
 	callInPlace callReason = "in place"
-	// callRegister writes or removes the own row, callCounters writes cost counters.
+	// callRegister writes or removes this node's row, callCounters writes cost counters.
 	callRegister callReason = "register"
 	callCounters callReason = "counters"
-	// callQuarantine writes crashes and judgements, or removes old ones.
+	// callQuarantine writes crashes, judgements and limits, or removes old ones.
 	callQuarantine callReason = "quarantine"
 )
 
-// storeCalls counts calls of the store by reason.
+// storeCalls counts the calls to the store by reason.
 type storeCalls map[callReason]*atomic.Int64
 
 func newStoreCalls() storeCalls {
@@ -41,7 +41,7 @@
 	c[reason].Add(1)
 }
 
-// addGauges adds the counts to the metrics.
+// addGauges registers the counts as metrics.
 func (c storeCalls) addGauges(addGauge func(name string, read func() float64)) {
 	for reason, count := range c {
 		addGauge(fmt.Sprintf("store_calls_total{reason=%q}", reason), func() float64 { return float64(count.Load()) })
--- a/internal/chutegate/upstreamchanges.go
+++ b/internal/chutegate/upstreamchanges.go
@@ -6,19 +6,19 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-// maxMoves is how many upstreams that joined, are leaving or are gone have a line of
-// their own when many do so at once. A rack that fails takes some tens along; all of
-// them are in the one line that counts.
+// maxChangeLines is the number of upstreams that may change at once and still get a log line each.
+// A rack that fails takes some tens of upstreams with it; those are all counted in the one summary
+// line.
 const maxChangeLines = 16
 
-// moves is what changed from one list of upstreams to the next.
+// upstreamChanges is the difference between two lists of upstreams.
 type upstreamChanges struct {
 	joined, leaving, unreadable, gone []chutefleet.Upstream
-	// before maps the id of an incarnation to that of the one it replaced.
+	// previousID maps the ID of an incarnation to the ID of the one that it replaced.
 	previousID map[string]string
 }
 
-// movesOf compares two lists of upstreams.
+// diffUpstreams compares two lists of upstreams.
 func diffUpstreams(before, after []chutefleet.Upstream) upstreamChanges {
 	changes := upstreamChanges{previousID: map[string]string{}}
 	unmatched := make(map[string]chutefleet.Upstream, len(before))
@@ -52,11 +52,11 @@
 	return changes
 }
 
-// logMoves writes a line for each upstream that joined, is leaving or is gone, or one
-// line that counts them where they are many.
+// logUpstreamChanges logs a line for each upstream that joined, is leaving, is unreadable or is
+// gone, or one line with their counts if there are many.
 //
-// A node that starts finds thousands of upstreams at once. A line each, at every start
-// of every node, would drown what else the log tells.
+// A node that starts finds thousands of upstreams at once. A line each, at every start of every
+// node, would hide the rest of the log.
 func (n *Node) logUpstreamChanges(before, after []chutefleet.Upstream) {
 	changes := diffUpstreams(before, after)
 	listed := slices.Concat(changes.joined, changes.leaving, changes.unreadable)
