--- a/internal/chutegate/cluster_sim_test.go
+++ b/internal/chutegate/cluster_sim_test.go
@@ -35,37 +35,37 @@
 
 var errNoListener = errors.New("connection refused")
 
-func (s *simNetwork) cutOff(from, to string) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (network *simNetwork) cutOff(from, to string) bool {
+	network.mu.Lock()
+	defer network.mu.Unlock()
 
-	return s.isCut != nil && s.isCut(from, to)
+	return network.isCut != nil && network.isCut(from, to)
 }
 
 // setCut sets the function that reports which nodes are cut off from each other.
-func (s *simNetwork) setCut(cutOff func(from, to string) bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (network *simNetwork) setCut(cutOff func(from, to string) bool) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
 
-	s.isCut = cutOff
+	network.isCut = cutOff
 }
 
-func (s *simNetwork) dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
+func (network *simNetwork) dial(from string) func(ctx context.Context, to string) (net.Conn, error) {
 	return func(ctx context.Context, to string) (net.Conn, error) {
-		if s.cutOff(from, to) {
+		if network.cutOff(from, to) {
 			<-ctx.Done()
 
 			return nil, ctx.Err()
 		}
-		s.mu.Lock()
-		l := s.listeners[to]
-		s.mu.Unlock()
+		network.mu.Lock()
+		l := network.listeners[to]
+		network.mu.Unlock()
 		if l == nil {
 			return nil, errNoListener
 		}
 		conn, err := l.DialContext(ctx)
 
-		return &simConn{Conn: conn, silent: func() bool { return s.cutOff(from, to) }}, err
+		return &simConn{Conn: conn, silent: func() bool { return network.cutOff(from, to) }}, err
 	}
 }
 
@@ -137,50 +137,50 @@
 // newSimCluster starts all nodes at once, in several zones of one region. It has to be called in a
 // synctest bubble.
 func newSimCluster(t *testing.T, size, zones int) *simCluster {
-	f := &simCluster{
+	cluster := &simCluster{
 		C: qt.New(t), network: &simNetwork{listeners: map[string]*bufconn.Listener{}}, store: newMemoryStore(),
 		nodes: map[string]*Node{}, stops: map[string]func(){}, logs: map[string]*simLog{},
 	}
-	f.store.put("config", "c", "1")
-	f.store.put("upstreams", "u", "ready")
+	cluster.store.put("config", "c", "1")
+	cluster.store.put("upstreams", "u", "ready")
 	for i := range size {
 		name := fmt.Sprint("n", i)
 		peer := chuterelay.Peer{Name: name, Zone: fmt.Sprint("z", i%zones), Region: "r", Address: name, Power: 1}
-		f.peers = append(f.peers, peer)
-		f.start(peer)
+		cluster.peers = append(cluster.peers, peer)
+		cluster.start(peer)
 	}
 
-	return f
+	return cluster
 }
 
-func (f *simCluster) start(self chuterelay.Peer) {
-	f.logs[self.Name] = &simLog{}
-	n := New(Settings{Self: self, Tables: testTables}, clockwork.NewRealClock(), zerolog.New(f.logs[self.Name]), f.store.storeFor(self.Name), testDecoders(), Upstreams{TrimIdle: func() {}})
-	n.peers.Dial = f.network.dial(self.Name)
+func (cluster *simCluster) start(self chuterelay.Peer) {
+	cluster.logs[self.Name] = &simLog{}
+	n := New(Settings{Self: self, Tables: testTables}, clockwork.NewRealClock(), zerolog.New(cluster.logs[self.Name]), cluster.store.storeFor(self.Name), testDecoders(), Upstreams{TrimIdle: func() {}})
+	n.peers.Dial = cluster.network.dial(self.Name)
 	server := chuteshare.NewServer(n.Handlers())
 	l := bufconn.Listen(1 << 16)
-	f.network.mu.Lock()
-	f.network.listeners[self.Name] = l
-	f.network.mu.Unlock()
+	cluster.network.mu.Lock()
+	cluster.network.listeners[self.Name] = l
+	cluster.network.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = server.Serve(l)
 	}()
 	n.Start()
-	f.nodes[self.Name] = n
-	f.stops[self.Name] = sync.OnceFunc(func() {
-		f.network.mu.Lock()
-		delete(f.network.listeners, self.Name)
-		f.network.mu.Unlock()
+	cluster.nodes[self.Name] = n
+	cluster.stops[self.Name] = sync.OnceFunc(func() {
+		cluster.network.mu.Lock()
+		delete(cluster.network.listeners, self.Name)
+		cluster.network.mu.Unlock()
 		server.Stop()
 		n.Stop()
 		<-done
 	})
 }
 
-func (f *simCluster) stop() {
-	for _, stop := range f.stops {
+func (cluster *simCluster) stop() {
+	for _, stop := range cluster.stops {
 		stop()
 	}
 }
@@ -190,15 +190,15 @@
 
 // expectAppliedInTime changes the configuration and checks that each of the nodes has it in force
 // within applyBound.
-func (f *simCluster) expectAppliedInTime(version uint64, nodes []chuterelay.Peer) {
-	f.store.put("config", "c", fmt.Sprint(version))
+func (cluster *simCluster) expectAppliedInTime(version uint64, nodes []chuterelay.Peer) {
+	cluster.store.put("config", "c", fmt.Sprint(version))
 	began := time.Now()
 	for _, p := range nodes {
 		for {
-			if cfg, _ := f.nodes[p.Name].Config(); cfg.Version >= version {
+			if cfg, _ := cluster.nodes[p.Name].Config(); cfg.Version >= version {
 				break
 			}
-			f.Assert(time.Since(began) <= applyBound, qt.IsTrue, qt.Commentf("%s has no version %d after %v", p.Name, version, time.Since(began)))
+			cluster.Assert(time.Since(began) <= applyBound, qt.IsTrue, qt.Commentf("%s has no version %d after %v", p.Name, version, time.Since(began)))
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -211,12 +211,12 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(seed, 1))
-				f := newSimCluster(t, 8+4*int(seed%3), 4)
-				defer f.stop()
+				cluster := newSimCluster(t, 8+4*int(seed%3), 4)
+				defer cluster.stop()
 				time.Sleep(10*time.Second + time.Duration(random.IntN(3000))*time.Millisecond)
-				reachable := f.cutOffReaders(random)
+				reachable := cluster.cutOffReaders(random)
 				time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
-				f.expectAppliedInTime(2, reachable)
+				cluster.expectAppliedInTime(2, reachable)
 			})
 		})
 	}
@@ -224,16 +224,16 @@
 
 // cutOffReaders cuts the nodes that read the store for others off from it, and some of the other
 // nodes. It returns the nodes that can still reach the store.
-func (f *simCluster) cutOffReaders(random *rand.Rand) []chuterelay.Peer {
+func (cluster *simCluster) cutOffReaders(random *rand.Rand) []chuterelay.Peer {
 	var reachable []chuterelay.Peer
-	for _, p := range f.peers {
-		_, follows := f.nodes[p.Name].source()
+	for _, p := range cluster.peers {
+		_, follows := cluster.nodes[p.Name].source()
 		if follows && random.IntN(2) == 0 {
 			reachable = append(reachable, p)
 
 			continue
 		}
-		f.store.setCutOff(p.Name, true)
+		cluster.store.setCutOff(p.Name, true)
 	}
 
 	return reachable
--- a/internal/chutegate/faults_sim_test.go
+++ b/internal/chutegate/faults_sim_test.go
@@ -57,9 +57,9 @@
 			for seed := range uint64(*simSeeds) {
 				t.Run(fmt.Sprint(size, " nodes, ", fault, ", seed ", seed), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						f := newSimCluster(t, size, 4)
-						defer f.stop()
-						newFaultRun(f, seed).run(fault)
+						cluster := newSimCluster(t, size, 4)
+						defer cluster.stop()
+						newFaultRun(cluster, seed).run(fault)
 					})
 				})
 			}
@@ -84,75 +84,75 @@
 	longestLag time.Duration
 }
 
-func newFaultRun(f *simCluster, seed uint64) *faultRun {
+func newFaultRun(cluster *simCluster, seed uint64) *faultRun {
 	return &faultRun{
-		simCluster: f, random: rand.New(rand.NewPCG(seed, uint64(len(f.peers)))), version: 1,
+		simCluster: cluster, random: rand.New(rand.NewPCG(seed, uint64(len(cluster.peers)))), version: 1,
 		confirmedAt: map[uint64]time.Time{}, lastVersion: map[string]uint64{}, checkedFrom: map[string]time.Time{},
 	}
 }
 
-func (s *faultRun) run(fault faultKind) {
+func (r *faultRun) run(fault faultKind) {
 	time.Sleep(5 * time.Second)
 	for range faultsPerRun {
 		kind := fault
 		if kind == faultMixed {
-			kind = []faultKind{faultStore, faultLinks, faultKills, faultStale}[s.random.IntN(4)]
+			kind = []faultKind{faultStore, faultLinks, faultKills, faultStale}[r.random.IntN(4)]
 		}
-		endFault := s.injectFault(kind)
-		s.changeAndCheck(time.Duration(500+s.random.IntN(4000)) * time.Millisecond)
+		endFault := r.injectFault(kind)
+		r.changeAndCheck(time.Duration(500+r.random.IntN(4000)) * time.Millisecond)
 		endFault()
-		s.changeAndCheck(time.Duration(s.random.IntN(6000)) * time.Millisecond)
+		r.changeAndCheck(time.Duration(r.random.IntN(6000)) * time.Millisecond)
 	}
-	s.Logf("longest time without a confirmed version: %v", s.longestLag)
+	r.Logf("longest time without a confirmed version: %v", r.longestLag)
 }
 
 // injectFault starts a fault at some nodes, more often than not including the one that reads the
 // store for the others. It returns a function that ends the fault.
-func (s *faultRun) injectFault(fault faultKind) (endFault func()) {
+func (r *faultRun) injectFault(fault faultKind) (endFault func()) {
 	affected := map[string]bool{}
-	for _, p := range s.peers {
-		n, up := s.nodes[p.Name]
+	for _, p := range r.peers {
+		n, up := r.nodes[p.Name]
 		if !up {
 			continue
 		}
 		_, follows := n.source()
-		if s.random.IntN(4) == 0 || !follows && s.random.IntN(4) > 0 {
+		if r.random.IntN(4) == 0 || !follows && r.random.IntN(4) > 0 {
 			affected[p.Name] = true
-			s.checkedFrom[p.Name] = time.Now().Add(time.Hour)
+			r.checkedFrom[p.Name] = time.Now().Add(time.Hour)
 		}
 	}
 	set := func(on bool) {
 		for name := range affected {
-			s.setFault(fault, name, on)
+			r.setFault(fault, name, on)
 		}
-		s.network.setCut(func(from, to string) bool { return on && fault == faultLinks && affected[from] != affected[to] })
+		r.network.setCut(func(from, to string) bool { return on && fault == faultLinks && affected[from] != affected[to] })
 	}
 	set(true)
 
 	return func() {
 		set(false)
 		for name := range affected {
-			s.checkedFrom[name] = time.Now().Add(recoveryTime)
+			r.checkedFrom[name] = time.Now().Add(recoveryTime)
 		}
 	}
 }
 
 // setFault starts or ends the fault of one node.
-func (s *faultRun) setFault(fault faultKind, name string, on bool) {
+func (r *faultRun) setFault(fault faultKind, name string, on bool) {
 	switch {
 	case fault == faultStore || fault == faultLinks:
 		// A node that is cut off from the other nodes does not reach the store either.
-		s.store.setCutOff(name, on)
+		r.store.setCutOff(name, on)
 	case fault == faultStale:
-		s.store.setStale(name, on)
+		r.store.setStale(name, on)
 	case fault == faultKills && on:
-		s.stops[name]()
-		delete(s.nodes, name)
-		delete(s.lastVersion, name)
+		r.stops[name]()
+		delete(r.nodes, name)
+		delete(r.lastVersion, name)
 	case fault == faultKills:
-		for _, p := range s.peers {
+		for _, p := range r.peers {
 			if p.Name == name {
-				s.start(p)
+				r.start(p)
 			}
 		}
 	}
@@ -160,17 +160,17 @@
 
 // changeAndCheck changes configuration and upstreams at random times, and checks the nodes in
 // between.
-func (s *faultRun) changeAndCheck(span time.Duration) {
+func (r *faultRun) changeAndCheck(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(checkInterval) {
-		if s.random.IntN(6) == 0 {
-			s.version++
-			s.store.put("config", "c", fmt.Sprint(s.version))
-			s.store.put("upstreams", "u", fmt.Sprint(s.version))
-			s.confirmedAt[s.version] = time.Now()
+		if r.random.IntN(6) == 0 {
+			r.version++
+			r.store.put("config", "c", fmt.Sprint(r.version))
+			r.store.put("upstreams", "u", fmt.Sprint(r.version))
+			r.confirmedAt[r.version] = time.Now()
 		}
-		for _, p := range s.peers {
-			if n, up := s.nodes[p.Name]; up {
-				s.checkNode(p.Name, n)
+		for _, p := range r.peers {
+			if n, up := r.nodes[p.Name]; up {
+				r.checkNode(p.Name, n)
 			}
 		}
 	}
@@ -178,22 +178,22 @@
 
 // checkNode checks that a node decides by nothing older than the bound, and that its configuration
 // never goes back.
-func (s *faultRun) checkNode(name string, n *Node) {
+func (r *faultRun) checkNode(name string, n *Node) {
 	cfg, _ := n.Config()
-	s.Assert(cfg.Version >= s.lastVersion[name], qt.IsTrue, qt.Commentf("%s went back from %d to %d", name, s.lastVersion[name], cfg.Version))
-	s.lastVersion[name] = cfg.Version
-	if time.Now().Before(s.checkedFrom[name]) {
+	r.Assert(cfg.Version >= r.lastVersion[name], qt.IsTrue, qt.Commentf("%s went back from %d to %d", name, r.lastVersion[name], cfg.Version))
+	r.lastVersion[name] = cfg.Version
+	if time.Now().Before(r.checkedFrom[name]) {
 		return
 	}
 	row, _ := n.localTables["upstreams"].snapshot().Get("u")
 	upstreams, _ := strconv.ParseUint(string(row.Value), 10, 64)
 	for what, version := range map[string]uint64{"configuration": cfg.Version, "list of upstreams": upstreams} {
-		at, changed := s.confirmedAt[version+1]
+		at, changed := r.confirmedAt[version+1]
 		if !changed {
 			continue
 		}
 		lag := time.Since(at)
-		s.longestLag = max(s.longestLag, lag)
-		s.Assert(lag <= applyBound, qt.IsTrue, qt.Commentf("%s has no %s %d after %v\n%s", name, what, version+1, lag, s.logs[name].tail()))
+		r.longestLag = max(r.longestLag, lag)
+		r.Assert(lag <= applyBound, qt.IsTrue, qt.Commentf("%s has no %s %d after %v\n%s", name, what, version+1, lag, r.logs[name].tail()))
 	}
 }
--- a/internal/chutegate/fingerprint_test.go
+++ b/internal/chutegate/fingerprint_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestFingerprint(t *testing.T) {
-	sending := func(change func(in *IncomingRequest)) string {
+	fingerprintWith := func(change func(in *IncomingRequest)) string {
 		in := &IncomingRequest{ID: "1", Host: "h", Method: "POST", URI: "/a/b?c=1", Body: []byte("text")}
 		change(in)
 
 		return requestFingerprint("team", in)
 	}
-	same := sending(func(*IncomingRequest) {})
+	original := fingerprintWith(func(*IncomingRequest) {})
 
 	t.Run("the same request sent again has the same fingerprint", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(sending(func(in *IncomingRequest) { in.ID = "2" }), qt.Equals, same)
-		c.Assert(same, qt.HasLen, 2*fingerprintBytes)
+		c.Assert(fingerprintWith(func(in *IncomingRequest) { in.ID = "2" }), qt.Equals, original)
+		c.Assert(original, qt.HasLen, 2*fingerprintBytes)
 	})
 
 	t.Run("each change of what an upstream runs changes the fingerprint", func(t *testing.T) {
@@ -31,7 +31,7 @@
 			func(in *IncomingRequest) { in.Host, in.Method = "hP", "OST" },
 			func(in *IncomingRequest) { in.URI, in.Body = "/a/b?c=1t", []byte("ext") },
 		} {
-			c.Assert(sending(change), qt.Not(qt.Equals), same)
+			c.Assert(fingerprintWith(change), qt.Not(qt.Equals), original)
 		}
 	})
 
--- a/internal/chutegate/read.go
+++ b/internal/chutegate/read.go
@@ -44,8 +44,8 @@
 var errStaleAnswer = errors.New("the store's answer is older than what is known")
 
 // readStore updates the table from the store once, and reports whether its rows may have changed.
-// wait is how long a poll for changes stays open, reason what the call is counted as.
-func (n *Node) readStore(ctx context.Context, local *localTable, wait time.Duration, reason callReason) (bool, error) {
+// pollWait is how long a poll for changes stays open, reason what the call is counted as.
+func (n *Node) readStore(ctx context.Context, local *localTable, pollWait time.Duration, reason callReason) (bool, error) {
 	after, synced := local.readPosition()
 	if !synced {
 		reason = callStart
@@ -71,12 +71,12 @@
 		return rowsChanged, nil
 	}
 	limit := readTimeout
-	if wait > 0 {
-		limit = wait + pollTimeoutMargin
+	if pollWait > 0 {
+		limit = pollWait + pollTimeoutMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	page, err := n.store.AwaitChanges(ctx, local.name, after, wait)
+	page, err := n.store.AwaitChanges(ctx, local.name, after, pollWait)
 	if errors.Is(err, ErrCompacted) {
 		n.log.Info().Str("Table", local.name).Uint64("After", after).Msg("history is gone, reading everything")
 		local.requireFullRead()
@@ -90,16 +90,17 @@
 		return false, err
 	}
 	rowsChanged := local.mergeChanges(page)
-	// The store may have looked as early as the call was sent, or as late as the wait was over. The
-	// table is confirmed as of the latest time that is certain.
-	local.confirmAt(began.Add(min(n.Now().Sub(began), wait)))
+	// Without a wait the store may have looked as early as the call was sent, and with one as early
+	// as the wait was over. Time that the answer took beyond that does not count.
+	local.confirmAt(began.Add(min(n.Now().Sub(began), pollWait)))
 
 	return rowsChanged, nil
 }
 
 // keepCurrent keeps one table up to date until the node stops, and calls onChange after each read
-// that may have changed it. minInterval is the minimum time between two reads of the store.
-func (n *Node) keepCurrent(ctx context.Context, local *localTable, wait, minInterval time.Duration, onChange func()) {
+// that may have changed it. minInterval is the minimum time between two reads of the store,
+// pollWait how long each of them stays open.
+func (n *Node) keepCurrent(ctx context.Context, local *localTable, pollWait, minInterval time.Duration, onChange func()) {
 	if local != n.localTables[n.settings.Tables.Peers] {
 		n.awaitNodeList(ctx)
 	}
@@ -141,7 +142,7 @@
 		if failedReads > 0 {
 			reason = callRetry
 		}
-		err := n.readStoreOrPeer(ctx, local, nextPollWait(storeAnswered, wait), reason, onChange)
+		err := n.readStoreOrPeer(ctx, local, nextPollWait(storeAnswered, pollWait), reason, onChange)
 		storeAnswered = err == nil
 		delay := minInterval - n.Now().Sub(began)
 		if err == nil {
@@ -171,18 +172,18 @@
 // The first poll after a failure, and the first one of a node that has followed a source until now,
 // is to return at once. Until it is answered this node counts as out of date, and all its followers
 // would ask the store themselves.
-func nextPollWait(storeAnswered bool, wait time.Duration) time.Duration {
+func nextPollWait(storeAnswered bool, pollWait time.Duration) time.Duration {
 	if !storeAnswered {
 		return 0
 	}
 
-	return wait
+	return pollWait
 }
 
 // readStoreOrPeer reads the table from the store once, or from a peer if the store does not answer.
 // It returns the error of the store.
-func (n *Node) readStoreOrPeer(ctx context.Context, local *localTable, wait time.Duration, reason callReason, onChange func()) error {
-	rowsChanged, err := n.readStore(ctx, local, wait, reason)
+func (n *Node) readStoreOrPeer(ctx context.Context, local *localTable, pollWait time.Duration, reason callReason, onChange func()) error {
+	rowsChanged, err := n.readStore(ctx, local, pollWait, reason)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
