--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -19,28 +19,29 @@
 )
 
 const (
-	// backlog is how many events may wait for the loop before their senders do.
-	backlog = 4096
-	// trimEvery is how often idle connections are looked over.
-	trimEvery = 2 * time.Second
+	// maxQueuedMessages is the number of messages that may wait for the event loop before their
+	// senders block.
+	maxQueuedMessages = 4096
+	// trimInterval is the time between two checks for idle upstream connections.
+	trimInterval = 2 * time.Second
 )
 
-// Settings are what a node knows from its start.
+// Settings are the parameters that a node is started with.
 type Settings struct {
 	Self    chuterelay.Peer
 	Retries chutebudget.Settings
-	// ConfigWithin is the time within which a confirmed configuration has to be in force at
-	// every node, LeaveWithin that within which a leaving upstream gets no more calls;
-	// DefaultWithin if they are 0.
+	// ConfigWithin is the time within which a confirmed configuration has to be in force at every
+	// node. LeaveWithin is the time within which a leaving upstream stops getting calls. 0 stands
+	// for DefaultWithin.
 	ConfigWithin time.Duration
 	LeaveWithin  time.Duration
-	// ColdFactor is how many times the stated rate a cold upstream may get; 0 counts as 1.
+	// ColdFactor is the multiple of its stated rate that a cold upstream may get; 0 counts as 1.
 	ColdFactor float64
 	Tables     Tables
 	Seed       uint64
 }
 
-// Node relays requests.
+// Node relays requests to upstreams.
 type Node struct {
 	settings  Settings
 	clock     clockwork.Clock
@@ -56,77 +57,78 @@
 	queries  chan func(chutecore.State)
 	config   atomic.Pointer[chuteroute.Config]
 	nodes    atomic.Pointer[[]chuterelay.Peer]
-	// nodesKnown is closed when the list of nodes was read once.
-	nodesKnown  chan struct{}
-	nodesListed sync.Once
-	// known is closed when configuration and upstreams are both known.
-	known     chan struct{}
-	knownOnce sync.Once
-	// quarantineKnown is closed when the crashes and judgements were read once.
-	quarantineKnown chan struct{}
-	lost            lostNodes
-	chosen          atomic.Pointer[sourceChoice]
-	// storeFailedAt is when the store last failed this node; nil if it never did.
+	// nodesLoaded is closed once the list of nodes has been read.
+	nodesLoaded     chan struct{}
+	nodesLoadedOnce sync.Once
+	// requiredLoaded is closed once both the configuration and the list of upstreams are known.
+	requiredLoaded     chan struct{}
+	requiredLoadedOnce sync.Once
+	// quarantineLoaded is closed once the crashes and judgements have been read.
+	quarantineLoaded chan struct{}
+	lostSources      lostNodeSet
+	cachedSource     atomic.Pointer[sourceChoice]
+	// storeFailedAt is when a read of the store last failed; nil if none has.
 	storeFailedAt atomic.Pointer[time.Time]
-	// listed says that the list of upstreams was read once.
-	listed   atomic.Bool
-	draining atomic.Bool
-	handles  atomic.Uint64
-	// unreadable counts the entries of upstreams that have become unreadable.
-	unreadable atomic.Int64
-	// staleRefusals counts the requests that a configuration did not allow which may not be
-	// the newest one.
+	// upstreamsLoaded is true once the list of upstreams has been read.
+	upstreamsLoaded atomic.Bool
+	draining        atomic.Bool
+	lastHandle      atomic.Uint64
+	// unreadableEntries counts the upstream entries that have become undecodable.
+	unreadableEntries atomic.Int64
+	// staleRefusals counts requests that the configuration does not allow, at a time when it may
+	// not have been the newest one.
 	staleRefusals atomic.Int64
-	// evacuated counts the zones that are evacuated.
-	evacuated  atomic.Int64
-	storeCalls storeCalls
-	// toGossip and toStore are the crashes and judgements that wait to be told to other nodes
-	// and to be written to the store, heard those that were told or heard.
-	toGossip *reportQueue
-	toStore  *reportQueue
-	seen     seenReports
-	// crashes counts the ends of upstreams that this node saw.
-	crashes atomic.Int64
-	watches map[string]*watch
-
-	running    context.Context
-	stop       context.CancelFunc
+	// evacuatedZoneCount is the number of zones that are evacuated now.
+	evacuatedZoneCount atomic.Int64
+	storeCalls         storeCalls
+	// gossipQueue holds the crashes, judgements and limits to be sent to other nodes, storeQueue
+	// those to be written to the store. knownReports holds those that this node has already sent or
+	// received.
+	gossipQueue  *reportQueue
+	storeQueue   *reportQueue
+	knownReports reportSet
+	// upstreamCrashes counts the upstreams that this node saw end while they ran requests.
+	upstreamCrashes atomic.Int64
+	localTables     map[string]*localTable
+
+	runContext context.Context
+	cancelRun  context.CancelFunc
 	background sync.WaitGroup
 
-	// The loop alone uses what follows.
-	state   chutecore.State
-	entries map[uint64]*entry
-	asks    map[uint64]context.CancelFunc
-	jobs    map[uint64]chan<- chuteshare.Update
+	// The fields below are accessed by the event loop only.
+	state               chutecore.State
+	requests            map[uint64]*request
+	partsRequestCancels map[uint64]context.CancelFunc
+	jobUpdates          map[uint64]chan<- chuteshare.Update
 }
 
-// message is one event with what the loop does ahead of it.
+// message is one event, with a function that the event loop runs before it handles the event.
 type message struct {
-	at     time.Time
-	event  chuterelay.Event
-	before func()
-	// ledger is set in place of event for what concerns cost counters.
-	ledger chutecore.Event
+	at         time.Time
+	relayEvent chuterelay.Event
+	prepare    func()
+	// ledgerEvent is set instead of relayEvent for events about cost counters.
+	ledgerEvent chutecore.Event
 }
 
-// New returns a node that does nothing until Start.
+// New returns a node that does nothing until Start is called.
 func New(
 	settings Settings, clock clockwork.Clock, log zerolog.Logger, store Store, decode Decoders, upstreams Upstreams,
 ) *Node {
 	settings.ConfigWithin = cmp.Or(settings.ConfigWithin, DefaultWithin)
 	settings.LeaveWithin = cmp.Or(settings.LeaveWithin, DefaultWithin)
-	running, stop := context.WithCancel(context.Background())
+	runContext, cancelRun := context.WithCancel(context.Background())
 	n := &Node{
 		settings: settings, clock: clock, started: clock.Now(),
 		log:   log.With().Str("Node", settings.Self.Name).Str("Zone", settings.Self.Zone).Logger(),
 		store: store, decode: decode, upstreams: upstreams, peers: chuteshare.NewClient(), meter: chutemeter.New(),
-		messages: make(chan message, backlog), queries: make(chan func(chutecore.State)),
-		running: running, stop: stop,
-		entries: map[uint64]*entry{}, asks: map[uint64]context.CancelFunc{},
-		jobs: map[uint64]chan<- chuteshare.Update{}, watches: map[string]*watch{}, nodesKnown: make(chan struct{}),
-		known: make(chan struct{}), quarantineKnown: make(chan struct{}),
-		storeCalls: newStoreCalls(),
-		toGossip:   newReportQueue(), toStore: newReportQueue(),
+		messages: make(chan message, maxQueuedMessages), queries: make(chan func(chutecore.State)),
+		runContext: runContext, cancelRun: cancelRun,
+		requests: map[uint64]*request{}, partsRequestCancels: map[uint64]context.CancelFunc{},
+		jobUpdates: map[uint64]chan<- chuteshare.Update{}, localTables: map[string]*localTable{}, nodesLoaded: make(chan struct{}),
+		requiredLoaded: make(chan struct{}), quarantineLoaded: make(chan struct{}),
+		storeCalls:  newStoreCalls(),
+		gossipQueue: newReportQueue(), storeQueue: newReportQueue(),
 	}
 	identity := chutecore.Identity{
 		Node: settings.Self.Name, Zone: settings.Self.Zone, PeerAddress: settings.Self.Address,
@@ -138,58 +140,61 @@
 	n.state = chutecore.NewState(identity, settings.Seed, n.Now()).WithRelay(relay)
 	n.addGauges()
 	for table, stale := range map[string]time.Duration{
-		settings.Tables.Config:     staleAfter(settings.ConfigWithin),
-		settings.Tables.Upstreams:  staleAfter(settings.LeaveWithin),
-		settings.Tables.Peers:      unboundStale,
-		settings.Tables.Quarantine: unboundStale,
+		settings.Tables.Config:     staleAfterFor(settings.ConfigWithin),
+		settings.Tables.Upstreams:  staleAfterFor(settings.LeaveWithin),
+		settings.Tables.Peers:      unboundedStaleAfter,
+		settings.Tables.Quarantine: unboundedStaleAfter,
 	} {
-		n.watches[table] = newWatch(table, stale)
+		n.localTables[table] = newLocalTable(table, stale)
 	}
-	n.watches[settings.Tables.Upstreams].essence = decode.UpstreamEssence
-	n.watches[settings.Tables.Peers].signs = chuteshare.SlowFollowEvery
-	n.watches[settings.Tables.Quarantine].signs = chuteshare.SlowFollowEvery
+	n.localTables[settings.Tables.Upstreams].valueWithoutHeartbeat = decode.UpstreamWithoutHeartbeat
+	n.localTables[settings.Tables.Peers].keepaliveInterval = chuteshare.SlowFollowEvery
+	n.localTables[settings.Tables.Quarantine].keepaliveInterval = chuteshare.SlowFollowEvery
 
 	return n
 }
 
-// epoch is where the node's own time begins. It has no meaning outside: the time
-// of day may jump by seconds, and nothing that is decided may jump with it.
+// epoch is the start of the node's own time and has no meaning outside the node. The time of day
+// can jump by seconds, and no decision may depend on such a jump.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// Now is the node's own time: it moves as the steady clock does.
+// Now returns the node's own time, which advances with the monotonic clock.
 func (n *Node) Now() time.Time {
 	return epoch.Add(n.clock.Since(n.started))
 }
 
-// Start begins the loop and the watches.
+// Start starts the event loop and the background tasks.
 func (n *Node) Start() {
-	n.spawn(n.loop)
+	n.spawn(n.runEventLoop)
 	n.spawn(n.watchConfig)
 	n.spawn(n.watchUpstreams)
 	n.spawn(n.watchPeers)
 	n.spawn(n.watchQuarantine)
 	n.spawn(n.gossipReports)
 	n.spawn(n.storeReports)
-	n.spawn(n.register)
-	n.spawn(n.trim)
+	n.spawn(n.registerNode)
+	n.spawn(n.trimConnections)
 	n.spawn(n.flushLedger)
 }
 
-// Stop ends everything; requests in flight are broken off.
+// Stop ends all background tasks and cuts off requests in flight.
 func (n *Node) Stop() {
-	n.stop()
+	n.cancelRun()
 	n.background.Wait()
 	n.peers.Close()
 }
 
-// removeTimeout bounds the removal of the own row; peers find out by asking otherwise.
-const removeTimeout = 2 * time.Second
+// removeRowTimeout bounds the removal of this node's row. If the row stays, peers find out by a
+// failed call that the node is gone.
+const removeRowTimeout = 2 * time.Second
 
-// Drain makes the node unready and hands its duties over; requests in flight go on.
-// The channel it returns is closed when the own row is removed, or not to be waited for.
+// Drain makes the node unready and hands its duties over; requests in flight continue. The returned
+// channel is closed when this node's row is removed, or when the removal has failed, has timed out
+// or was started by an earlier call.
 //
-// The store may take the call and never answer. A node that waited for it went on
-// taking requests in until the end of its grace time, and cut the last ones off.
+// The removal is not waited for here because the store may accept the call and never answer: a node
+// that waited went on accepting requests until the end of its grace period, and cut the last ones
+// off.
 func (n *Node) Drain() <-chan struct{} {
 	removed := make(chan struct{})
 	if n.draining.Swap(true) {
@@ -198,26 +203,26 @@
 		return removed
 	}
 	n.log.Info().Msg("draining")
-	n.send(chuterelay.DrainStarted{})
+	n.sendEvent(chuterelay.DrainStarted{})
 	n.spawn(func(ctx context.Context) {
 		defer close(removed)
-		ctx, cancel := context.WithTimeout(ctx, removeTimeout)
+		ctx, cancel := context.WithTimeout(ctx, removeRowTimeout)
 		defer cancel()
 		n.storeCalls.add(callRegister)
 		if err := n.store.Remove(ctx, n.settings.Tables.Peers, n.settings.Self.Name); err != nil {
-			n.log.Warn().Err(err).Msg("the own row could not be removed; peers find out by asking")
+			n.log.Warn().Err(err).Msg("this node's row could not be removed; peers find out by failed calls")
 		}
 	})
 
 	return removed
 }
 
-// RefuseUnsent refuses all requests that no upstream has got yet.
+// RefuseUnsent refuses all requests that have not been sent to an upstream yet.
 func (n *Node) RefuseUnsent() {
-	n.send(chuterelay.DrainEnding{})
+	n.sendEvent(chuterelay.DrainEnding{})
 }
 
-// Draining says whether the node was asked to end.
+// Draining reports whether Drain was called.
 func (n *Node) Draining() bool {
 	return n.draining.Load()
 }
@@ -232,13 +237,14 @@
 	return *cfg, true
 }
 
-// Query runs f on the state between two events.
+// Query runs f on the state between two events. It returns without running f if the node has
+// stopped.
 func (n *Node) Query(f func(chutecore.State)) {
 	done := make(chan struct{})
 	select {
 	case n.queries <- func(s chutecore.State) { f(s); close(done) }:
 		<-done
-	case <-n.running.Done():
+	case <-n.runContext.Done():
 	}
 }
 
@@ -246,69 +252,69 @@
 	n.background.Add(1)
 	go func() {
 		defer n.background.Done()
-		f(n.running)
+		f(n.runContext)
 	}()
 }
 
-// send hands an event to the loop.
-func (n *Node) send(event chuterelay.Event) {
-	n.sendWith(event, nil)
+// sendEvent queues an event for the event loop.
+func (n *Node) sendEvent(event chuterelay.Event) {
+	n.sendEventWith(event, nil)
 }
 
-func (n *Node) sendWith(event chuterelay.Event, before func()) {
+func (n *Node) sendEventWith(event chuterelay.Event, prepare func()) {
 	select {
-	case n.messages <- message{at: n.Now(), event: event, before: before}:
-	case <-n.running.Done():
+	case n.messages <- message{at: n.Now(), relayEvent: event, prepare: prepare}:
+	case <-n.runContext.Done():
 	}
 }
 
-// loop takes events one at a time until the node stops.
-func (n *Node) loop(ctx context.Context) {
+// runEventLoop handles messages and queries one at a time until the node stops.
+func (n *Node) runEventLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-n.messages:
-			n.take(m) //nolint:contextcheck // effects live as long as the node, not as their event
-		case ask := <-n.queries:
-			ask(n.state)
+		case msg := <-n.messages:
+			n.handleMessage(msg) //nolint:contextcheck // effects live as long as the node, not as their event
+		case query := <-n.queries:
+			query(n.state)
 		}
 	}
 }
 
-// take reduces one event and carries its effects out.
-func (n *Node) take(m message) {
-	if m.before != nil {
-		m.before()
+// handleMessage reduces one event and performs its effects.
+func (n *Node) handleMessage(msg message) {
+	if msg.prepare != nil {
+		msg.prepare()
 	}
 	var effects []chutecore.Effect
-	event := m.ledger
+	event := msg.ledgerEvent
 	if event == nil {
-		event = chutecore.RelayEvent{Stamp: chutecore.Stamp{At: m.at}, Event: m.event}
+		event = chutecore.RelayEvent{Stamp: chutecore.Stamp{At: msg.at}, Event: msg.relayEvent}
 	}
 	n.state, effects = chutecore.Reduce(n.state, event)
-	n.performAll(effects)
+	n.performEffects(effects)
 }
 
-// performAll carries effects out in order.
-func (n *Node) performAll(effects []chutecore.Effect) {
+// performEffects performs effects in order.
+func (n *Node) performEffects(effects []chutecore.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case chutecore.RelayEffect:
-			n.perform(e.Effect)
+			n.performEffect(e.Effect)
 		case chutecore.WriteLedgerRows:
 			n.spawn(func(ctx context.Context) { n.writeLedger(ctx, e.Rows) })
 		}
 	}
 }
 
-// after sends an event at a time of the node's clock.
-func (n *Node) after(at time.Time, event chuterelay.Event) clockwork.Timer {
-	return n.clock.AfterFunc(at.Sub(n.Now()), func() { n.send(event) })
+// sendEventAt sends an event at the given time of the node's own clock.
+func (n *Node) sendEventAt(at time.Time, event chuterelay.Event) clockwork.Timer {
+	return n.clock.AfterFunc(at.Sub(n.Now()), func() { n.sendEvent(event) })
 }
 
-// pause waits, and says whether the node still runs.
-func (n *Node) pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d, and returns false if ctx ended first.
+func (n *Node) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -317,9 +323,9 @@
 	}
 }
 
-// trim drops idle connections from time to time.
-func (n *Node) trim(ctx context.Context) {
-	for n.pause(ctx, trimEvery) {
-		n.upstreams.Trim()
+// trimConnections closes upstream connections that have been idle for too long, every trimInterval.
+func (n *Node) trimConnections(ctx context.Context) {
+	for n.sleep(ctx, trimInterval) {
+		n.upstreams.TrimIdle()
 	}
 }
--- a/internal/chutegate/lists.go
+++ b/internal/chutegate/lists.go
@@ -14,26 +14,27 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// watchConfig keeps the configuration and the evacuations up to date, which lie in one table.
+// watchConfig keeps the configuration and the evacuated zones up to date, which are rows of one
+// table.
 //
-// A node that starts learns of both at once, and of evacuations first: before it knows a
-// configuration it serves nobody, so it sends nothing to a zone that it does not know to be
-// evacuated.
+// A node that starts reads both at once and applies the evacuations first. Before it has a
+// configuration it serves nobody, so it sends no request to an evacuated zone without knowing of the
+// evacuation.
 func (n *Node) watchConfig(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Config]
-	var evacuated []string
-	n.keep(ctx, w, configWait, 0, func() {
-		if zones := n.evacuatedZones(w.snapshot()); !slices.Equal(zones, evacuated) {
-			evacuated = zones
-			n.evacuated.Store(int64(len(zones)))
-			n.send(chuterelay.ZonesEvacuated{Zones: zones})
+	local := n.localTables[n.settings.Tables.Config]
+	var lastZones []string
+	n.keepCurrent(ctx, local, configPollWait, 0, func() {
+		if zones := n.evacuatedZones(local.snapshot()); !slices.Equal(zones, lastZones) {
+			lastZones = zones
+			n.evacuatedZoneCount.Store(int64(len(zones)))
+			n.sendEvent(chuterelay.ZonesEvacuated{Zones: zones})
 		}
-		n.adopt(w)
+		n.adoptConfig(local)
 	})
 }
 
-// evacuatedZones returns the zones that the table says are evacuated, sorted. A row counts
-// whatever its value: an evacuation that is doubtful is obeyed.
+// evacuatedZones returns the zones that the table lists as evacuated, sorted. A row counts whatever
+// its value is, so an unreadable evacuation is obeyed too.
 func (n *Node) evacuatedZones(table chutefeed.Table) []string {
 	var zones []string
 	for _, row := range table.Rows() {
@@ -46,9 +47,10 @@
 	return zones
 }
 
-// adopt puts a newer configuration in force; one that can't be read leaves the old one there.
-func (n *Node) adopt(w *watch) {
-	row, ok := w.snapshot().Get(n.settings.Tables.ConfigKey)
+// adoptConfig puts a newer configuration in force. If it can't be decoded, the previous one stays
+// in force.
+func (n *Node) adoptConfig(local *localTable) {
+	row, ok := local.snapshot().Get(n.settings.Tables.ConfigKey)
 	if !ok {
 		return
 	}
@@ -64,58 +66,58 @@
 	}
 	cfg = cfg.WithIndex()
 	n.config.Store(&cfg)
-	n.send(chuterelay.ConfigAdopted{Config: cfg})
-	n.noteKnown()
+	n.sendEvent(chuterelay.ConfigAdopted{Config: cfg})
+	n.signalIfRequiredLoaded()
 	n.log.Info().Uint64("Version", cfg.Version).Int("Pipelines", len(cfg.Pipelines)).
-		Int("Keys", len(cfg.Workspaces)).Str("From", w.heard()).Msg("configuration in force")
+		Int("Keys", len(cfg.Workspaces)).Str("From", local.lastChangeFrom()).Msg("configuration in force")
 }
 
 // watchUpstreams keeps the list of upstreams up to date.
 func (n *Node) watchUpstreams(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Upstreams]
-	var last []chutefleet.Upstream
+	local := n.localTables[n.settings.Tables.Upstreams]
+	var lastList []chutefleet.Upstream
 	lastHold := false
-	entries := map[string]entryRead{}
-	n.keep(ctx, w, 0, upstreamsEvery, func() {
-		list, ok := n.upstreamsOf(w.snapshot(), entries)
-		hold := w.settling(n.Now())
-		if !ok || slices.Equal(list, last) && hold == lastHold && n.listed.Load() {
+	decoded := map[string]decodedEntry{}
+	n.keepCurrent(ctx, local, 0, upstreamsReadInterval, func() {
+		list, ok := n.decodeUpstreams(local.snapshot(), decoded)
+		hold := local.isSettling(n.Now())
+		if !ok || slices.Equal(list, lastList) && hold == lastHold && n.upstreamsLoaded.Load() {
 			return
 		}
-		n.send(chuterelay.UpstreamsListed{Upstreams: list, Hold: hold})
-		n.logMoves(last, list)
-		last, lastHold = list, hold
-		n.listed.Store(true)
-		n.noteKnown()
+		n.sendEvent(chuterelay.UpstreamsListed{Upstreams: list, Hold: hold})
+		n.logUpstreamChanges(lastList, list)
+		lastList, lastHold = list, hold
+		n.upstreamsLoaded.Store(true)
+		n.signalIfRequiredLoaded()
 	})
 }
 
-// entryRead is an upstream's entry as it was last read.
-type entryRead struct {
+// decodedEntry is an upstream's entry as last decoded, with the bytes it was decoded from.
+type decodedEntry struct {
 	value    []byte
 	upstream chutefleet.Upstream
 }
 
-// upstreamsOf decodes the list; false means that it was never read. What entries hold
-// that did not change is taken from the last time: of thousands few change at once.
+// decodeUpstreams decodes the list; false means that the table was never read. Unchanged entries
+// are taken from decoded, because of thousands only a few change at once.
 //
-// Entries that can't be read are logged when they become so. A line each time for an
-// entry that somebody else has left there would fill the log.
-func (n *Node) upstreamsOf(table chutefeed.Table, entries map[string]entryRead) ([]chutefleet.Upstream, bool) {
+// An unreadable entry is logged only when it becomes unreadable. A line at each read for an entry
+// that another program has left there would fill the log.
+func (n *Node) decodeUpstreams(table chutefeed.Table, decoded map[string]decodedEntry) ([]chutefleet.Upstream, bool) {
 	if table.Version() == 0 {
 		return nil, false
 	}
 	list := make([]chutefleet.Upstream, 0, table.Len())
 	for _, row := range table.Rows() {
-		read, known := entries[row.Key]
-		if !known || !bytes.Equal(read.value, row.Value) {
-			read = n.readEntry(row, read.upstream.State)
-			entries[row.Key] = read
+		entry, known := decoded[row.Key]
+		if !known || !bytes.Equal(entry.value, row.Value) {
+			entry = n.decodeEntry(row, entry.upstream.State)
+			decoded[row.Key] = entry
 		}
-		list = append(list, read.upstream)
+		list = append(list, entry.upstream)
 	}
-	if len(entries) > len(list) {
-		maps.DeleteFunc(entries, func(key string, _ entryRead) bool {
+	if len(decoded) > len(list) {
+		maps.DeleteFunc(decoded, func(key string, _ decodedEntry) bool {
 			_, listed := table.Get(key)
 
 			return !listed
@@ -125,32 +127,33 @@
 	return list, true
 }
 
-// readEntry decodes an upstream's entry; before is the state as which it was last read.
-func (n *Node) readEntry(row chutefeed.Row, before chutefleet.State) entryRead {
+// decodeEntry decodes an upstream's entry; previous is the state that it had when it was last
+// decoded.
+func (n *Node) decodeEntry(row chutefeed.Row, previous chutefleet.State) decodedEntry {
 	u, err := n.decode.Upstream(row.Key, row.Value)
 	if err != nil {
 		u = chutefleet.Upstream{Name: row.Key, State: chutefleet.StateUnreadable}
-		if before != chutefleet.StateUnreadable {
-			n.unreadable.Add(1)
+		if previous != chutefleet.StateUnreadable {
+			n.unreadableEntries.Add(1)
 			n.log.Error().Err(err).Str("Key", row.Key).Msg("an upstream's entry can't be read; it gets no calls")
 		}
 	}
 
-	return entryRead{value: row.Value, upstream: u}
+	return decodedEntry{value: row.Value, upstream: u}
 }
 
 // watchPeers keeps the list of nodes up to date.
 func (n *Node) watchPeers(ctx context.Context) {
-	w := n.watches[n.settings.Tables.Peers]
-	n.keep(ctx, w, peersWait, peersEvery, func() {
-		peers := n.decodePeers(w)
+	local := n.localTables[n.settings.Tables.Peers]
+	n.keepCurrent(ctx, local, peersPollWait, peersReadInterval, func() {
+		peers := n.decodePeers(local)
 		n.nodes.Store(&peers)
-		n.nodesListed.Do(func() { close(n.nodesKnown) })
-		n.send(chuterelay.PeersListed{Peers: peers})
+		n.nodesLoadedOnce.Do(func() { close(n.nodesLoaded) })
+		n.sendEvent(chuterelay.PeersListed{Peers: peers})
 	})
 }
 
-// listedPeers returns the nodes of the last list.
+// listedPeers returns a copy of the last list of nodes.
 func (n *Node) listedPeers() []chuterelay.Peer {
 	if peers := n.nodes.Load(); peers != nil {
 		return slices.Clone(*peers)
@@ -159,9 +162,9 @@
 	return nil
 }
 
-// decodePeers decodes the list of nodes.
-func (n *Node) decodePeers(w *watch) []chuterelay.Peer {
-	table := w.snapshot()
+// decodePeers decodes the list of nodes and leaves out rows that can't be decoded.
+func (n *Node) decodePeers(local *localTable) []chuterelay.Peer {
+	table := local.snapshot()
 	peers := make([]chuterelay.Peer, 0, table.Len())
 	for _, row := range table.Rows() {
 		var peer chuterelay.Peer
@@ -176,36 +179,36 @@
 	return peers
 }
 
-// registerPause is the mean pause after the first write of the own row that failed; it
-// doubles with each further one, to 8 s.
-const registerPause = 500 * time.Millisecond
+// registerRetryPause is the mean pause after the first failed write of this node's row. It doubles
+// with each further failure, up to 8 s.
+const registerRetryPause = 500 * time.Millisecond
 
-// jittered returns a random time with the given mean.
+// jittered returns a random duration between 0 and twice the mean.
 //
-// Nodes that start together fail together where the store does fewer writes a second
-// than there are nodes, and would come back together.
+// Nodes that start together fail together if the store handles fewer writes a second than there are
+// nodes. Without jitter they would also retry together.
 func jittered(mean time.Duration) time.Duration {
 	return time.Duration(2 * rand.Float64() * float64(mean)) //nolint:gosec // spreads calls, no secret
 }
 
-// register writes the own row, by which other nodes find this one.
-func (n *Node) register(ctx context.Context) {
+// registerNode writes this node's row to the store, where other nodes find it.
+func (n *Node) registerNode(ctx context.Context) {
 	value, err := json.Marshal(n.settings.Self)
 	if err != nil {
-		n.log.Error().Err(err).Msg("the own row can't be written")
+		n.log.Error().Err(err).Msg("this node's row can't be encoded")
 
 		return
 	}
-	for failed := 0; ctx.Err() == nil && !n.draining.Load(); failed++ {
-		write, cancel := context.WithTimeout(ctx, readTimeout)
+	for failures := 0; ctx.Err() == nil && !n.draining.Load(); failures++ {
+		writeContext, cancel := context.WithTimeout(ctx, readTimeout)
 		n.storeCalls.add(callRegister)
-		err := n.store.Put(write, n.settings.Tables.Peers, n.settings.Self.Name, value)
+		err := n.store.Put(writeContext, n.settings.Tables.Peers, n.settings.Self.Name, value)
 		cancel()
 		if err == nil {
 			return
 		}
-		n.log.Warn().Err(err).Msg("the own row is not written yet")
-		if !n.pause(ctx, jittered(registerPause<<min(failed, 4))) {
+		n.log.Warn().Err(err).Msg("this node's row could not be written; it is tried again")
+		if !n.sleep(ctx, jittered(registerRetryPause<<min(failures, 4))) {
 			return
 		}
 	}
--- /dev/null
+++ b/internal/chutegate/localtable.go
@@ -0,0 +1,344 @@
+package chutegate
+
+import (
+	"slices"
+	"sync"
+	"time"
+
+	"azurechute.example/azurechute/internal/chutefeed"
+	"azurechute.example/azurechute/internal/chuterelay"
+	"azurechute.example/azurechute/internal/chuteshare"
+)
+
+// settlePeriod is how long upstreams that are missing from the list are kept after the store's
+// return. Live ones are in the list again about two seconds after it.
+const settlePeriod = 2200 * time.Millisecond
+
+// localTable is this node's copy of one of the store's tables.
+type localTable struct {
+	name string
+	// valueWithoutHeartbeat returns a row's value without the fields that each heartbeat changes;
+	// nil if all of the value matters.
+	valueWithoutHeartbeat func(value []byte) []byte
+	// keepaliveInterval is how often a source shows its followers that it is alive.
+	keepaliveInterval time.Duration
+	// staleAfter is the age at which a node with a source considers the table stale and reads the
+	// store itself.
+	staleAfter time.Duration
+
+	mu    sync.Mutex
+	table chutefeed.Table
+	// synced is true if the table is complete up to its version.
+	synced bool
+	// storeLost is true if the last read of the store failed.
+	storeLost bool
+	// current is true if the last sign of the store was good: this node's own read, or the status
+	// that the source reported.
+	current bool
+	// confirmedAt is the latest time as of which the table is known to have been up to date; zero
+	// if there is none.
+	confirmedAt time.Time
+	// source is the node that is followed, empty if there is none. sourceConfirmedAt is the same as
+	// confirmedAt, but by the source's reports alone.
+	source            chuterelay.Peer
+	sourceConfirmedAt time.Time
+	// lastChangeNode is the node that the last change came from; empty for the store.
+	lastChangeNode string
+	// changed is closed and replaced at each change of the rows, of current or of confirmedAt.
+	changed chan struct{}
+	// storeReturnedAt is when the store last answered again after failed reads.
+	storeReturnedAt time.Time
+	// wasSettling is true if the rows were settling when they were last looked at, so that rows
+	// missing from the table may have been kept then.
+	wasSettling bool
+}
+
+func newLocalTable(name string, staleAfter time.Duration) *localTable {
+	return &localTable{name: name, keepaliveInterval: chuteshare.FollowEvery, staleAfter: staleAfter, changed: make(chan struct{})}
+}
+
+// snapshot returns the present state of the table.
+func (local *localTable) snapshot() chutefeed.Table {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return local.table
+}
+
+// replaceAll applies a whole table, unless it is older than the present one. It reports whether the
+// rows have to be looked at, as apply does.
+//
+// The store may answer with rows that are some seconds old. They would bring back an upstream that
+// is leaving, or a configuration that was replaced.
+func (local *localTable) replaceAll(p Page) bool {
+	return local.applyFromStore(chutefeed.Change{Version: p.Version, Whole: true, Rows: local.rowsOfPage(p)})
+}
+
+// mergeChanges applies changes and reports whether the rows have to be looked at, as apply does.
+func (local *localTable) mergeChanges(p Page) bool {
+	p.Rows = lastChangeOfEachRow(p.Rows)
+	c := chutefeed.Change{Version: p.Version, Rows: local.rowsOfPage(p)}
+	for _, row := range p.Rows {
+		if row.Deleted {
+			c.Gone = append(c.Gone, row.Key)
+		}
+	}
+
+	return local.applyFromStore(c)
+}
+
+// lastChangeOfEachRow returns the last change of each row. The store lists every change, and one
+// page may hold a row that was written, deleted and written again.
+func lastChangeOfEachRow(changes []Row) []Row {
+	last := make(map[string]uint64, len(changes))
+	for _, row := range changes {
+		last[row.Key] = max(last[row.Key], row.Version)
+	}
+
+	return slices.DeleteFunc(slices.Clone(changes), func(row Row) bool { return row.Version < last[row.Key] })
+}
+
+// rowsOfPage returns the rows of a page that are not deleted, with their values as
+// valueWithoutHeartbeat returns them.
+//
+// Every upstream writes its row about once a second as a heartbeat. If those writes counted as
+// changes, thousands a second would be sent to all nodes.
+func (local *localTable) rowsOfPage(p Page) []chutefeed.Row {
+	rows := make([]chutefeed.Row, 0, len(p.Rows))
+	for _, row := range p.Rows {
+		if row.Deleted {
+			continue
+		}
+		value := row.Value
+		if local.valueWithoutHeartbeat != nil {
+			value = local.valueWithoutHeartbeat(value)
+		}
+		rows = append(rows, chutefeed.Row{Key: row.Key, Value: value, Version: row.Version})
+	}
+
+	return rows
+}
+
+// applyFromNode applies a change that came from another node, as apply does.
+func (local *localTable) applyFromNode(node string, c chutefeed.Change) bool {
+	if !local.apply(c) {
+		return false
+	}
+	local.mu.Lock()
+	defer local.mu.Unlock()
+	local.lastChangeNode = node
+
+	return true
+}
+
+// applyFromStore applies a change that came from the store, as apply does.
+func (local *localTable) applyFromStore(c chutefeed.Change) bool {
+	return local.applyFromNode("", c)
+}
+
+// lastChangeFrom returns the node that the last change came from; empty for the store.
+func (local *localTable) lastChangeFrom() string {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return local.lastChangeNode
+}
+
+// apply applies a change, unless it is older than the table. It reports whether the rows have to be
+// looked at: they have changed, or this is the first state of the table.
+func (local *localTable) apply(c chutefeed.Change) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	if c.Version < local.table.Version() {
+		return false
+	}
+	first := !local.synced
+	local.synced = true
+	next := local.table.With(c)
+	if next.Same(local.table) {
+		local.table = local.table.WithVersion(c.Version)
+
+		return first
+	}
+	local.table = next
+	local.notifyFollowers()
+
+	return true
+}
+
+// notifyFollowers wakes the followers of this table; the caller holds mu.
+func (local *localTable) notifyFollowers() {
+	close(local.changed)
+	local.changed = make(chan struct{})
+}
+
+// minConfirmStep is the smallest step by which confirmedAt advances; followers are told of each
+// step at once. Keepalives repeat the same time, which differs only by the time that they took to
+// arrive.
+const minConfirmStep = 100 * time.Millisecond
+
+// setCurrent sets whether the last sign of the store was good, and reports whether that is a
+// change.
+func (local *localTable) setCurrent(current bool) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	if local.current == current {
+		return false
+	}
+	local.current = current
+	local.notifyFollowers()
+
+	return true
+}
+
+// confirmAt records that the table was up to date with the store as of a time.
+func (local *localTable) confirmAt(asOf time.Time) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	if asOf.Sub(local.confirmedAt) >= minConfirmStep {
+		local.confirmedAt = asOf
+		local.notifyFollowers()
+	}
+}
+
+// setSource records which node is followed from now on; none if its name is empty.
+func (local *localTable) setSource(source chuterelay.Peer, now time.Time) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	local.source, local.sourceConfirmedAt = source, now
+}
+
+// recordSourceStatus records the status that the source reported, and reports whether the source
+// has just lost the store.
+func (local *localTable) recordSourceStatus(status chuteshare.Word, now time.Time) bool {
+	if asOf, known := local.recordPeerStatus(status, now); known {
+		local.mu.Lock()
+		if asOf.After(local.sourceConfirmedAt) {
+			local.sourceConfirmedAt = asOf
+		}
+		local.mu.Unlock()
+	}
+
+	return local.setCurrent(status.Current) && !status.Current
+}
+
+// recordPeerStatus records the status reported by any node whose table this node has received, and
+// returns the time as of which the table was up to date there. It returns false if it never was.
+func (local *localTable) recordPeerStatus(status chuteshare.Word, now time.Time) (time.Time, bool) {
+	asOf := now.Add(-status.Age)
+	if !status.Known() {
+		return time.Time{}, false
+	}
+	local.confirmAt(asOf)
+
+	return asOf, true
+}
+
+// sourceAge returns the node that is followed, the time since the table was up to date by its
+// reports, and false if there is no such node.
+func (local *localTable) sourceAge(now time.Time) (chuterelay.Peer, time.Duration, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return local.source, now.Sub(local.sourceConfirmedAt), local.source.Name != ""
+}
+
+// age returns the time since the table was last known to be up to date; false if it never was.
+func (local *localTable) age(now time.Time) (time.Duration, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return now.Sub(local.confirmedAt), !local.confirmedAt.IsZero()
+}
+
+// lastConfirmed returns the time as of which the table was last known to be up to date, or the
+// node's start if it never was.
+func (local *localTable) lastConfirmed() time.Time {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	if local.confirmedAt.IsZero() {
+		return epoch
+	}
+
+	return local.confirmedAt
+}
+
+// readPosition returns the version to read changes after, and false if the whole table has to be
+// read.
+func (local *localTable) readPosition() (uint64, bool) {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return local.table.Version(), local.synced
+}
+
+// requireFullRead makes the next read one of the whole table.
+func (local *localTable) requireFullRead() {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	local.synced = false
+}
+
+// recordStoreResult records whether the store answered, and reports whether that differs from the
+// last time.
+func (local *localTable) recordStoreResult(answered bool, now time.Time) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	changed := local.storeLost == answered
+	if answered && local.storeLost {
+		local.storeReturnedAt = now
+	}
+	local.storeLost = !answered
+
+	return changed
+}
+
+// stateForFollowers returns what followers are sent.
+func (local *localTable) stateForFollowers(now time.Time) chuteshare.Followed {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return chuteshare.Followed{
+		Table: local.table, Current: local.synced && local.current, Age: local.ageLocked(now), Changed: local.changed,
+	}
+}
+
+// ageLocked returns the time since the table was known to be up to date, 0 if it never was; the
+// caller holds mu.
+func (local *localTable) ageLocked(now time.Time) time.Duration {
+	if local.confirmedAt.IsZero() {
+		return 0
+	}
+
+	return max(now.Sub(local.confirmedAt), time.Millisecond)
+}
+
+// needsReview reports whether the rows have to be looked at although none has changed. That is so
+// while the list settles, and once more after that.
+//
+// An upstream that was removed while the list settled is kept until it has settled. Without the
+// last look, such an upstream went on getting calls if no row changed afterwards.
+func (local *localTable) needsReview(now time.Time) bool {
+	settling := local.isSettling(now)
+	local.mu.Lock()
+	defer local.mu.Unlock()
+	review := settling || local.wasSettling
+	local.wasSettling = settling
+
+	return review
+}
+
+// isSettling reports whether rows that are missing from the table may still come back.
+func (local *localTable) isSettling(now time.Time) bool {
+	local.mu.Lock()
+	defer local.mu.Unlock()
+
+	return local.storeLost || !local.storeReturnedAt.IsZero() && now.Sub(local.storeReturnedAt) < settlePeriod
+}
--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -10,12 +10,12 @@
 	"azurechute.example/azurechute/internal/chuteshare"
 )
 
-// freeTimeout bounds the word to an upstream that results may go; what it misses
-// runs out by itself within seconds.
-const freeTimeout = time.Second
+// freeResultsTimeout bounds the call that tells an upstream to free results. Results that it is not
+// told of expire by themselves within seconds.
+const freeResultsTimeout = time.Second
 
-// perform carries one effect out; whatever blocks runs beside the loop.
-func (n *Node) perform(effect chuterelay.Effect) {
+// performEffect performs one effect; whatever blocks runs in a goroutine of its own.
+func (n *Node) performEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.SetDeadline:
 		n.setDeadline(e)
@@ -24,52 +24,53 @@
 	case chuterelay.CancelSend:
 		n.cancelSend(e)
 	case chuterelay.Deliver:
-		n.deliver(e)
+		n.deliverAnswer(e)
 	case chuterelay.Refuse:
-		n.end(e.Handle, final{refusal: &e.Refusal})
+		n.finishRequest(e.Handle, requestResult{refusal: &e.Refusal})
 	case chuterelay.Forget:
-		n.forget(e.Handle)
+		n.forgetRequest(e.Handle)
 	case chuterelay.LogStep:
 		n.meter.Note(e)
-		n.logNote(e)
+		n.logDecision(e)
 	case chuterelay.LogZone:
 		n.log.Warn().Str("At", e.Zone).Bool("CutOff", e.CutOff).Strs("Silent", e.Silent).Msg("zone")
 	case chuterelay.LogEvacuation:
 		n.log.Warn().Str("At", e.Zone).Bool("Evacuated", e.Evacuated).Msg("evacuation")
 	default:
-		n.performQuarantine(effect)
+		n.performQuarantineEffect(effect)
 	}
 }
 
-// performParts carries out the effects that concern stages' parts.
-func (n *Node) performParts(effect chuterelay.Effect) {
+// performPartsEffect performs the effects that concern the parts of stages, and those on upstreams'
+// connections and limits.
+func (n *Node) performPartsEffect(effect chuterelay.Effect) {
 	switch e := effect.(type) {
 	case chuterelay.RequestJob:
-		n.askParts(e)
+		n.requestParts(e)
 	case chuterelay.CancelJob:
-		n.dropAsk(e.JobRequestID)
+		n.cancelPartsRequest(e.JobRequestID)
 	case chuterelay.ReturnResults:
-		n.update(e.Token, chuteshare.Update{Results: e.Results, Wait: e.Wait, Beyond: e.OverShare, Loads: e.Loads})
+		n.sendJobUpdate(e.Token, chuteshare.Update{Results: e.Results, Wait: e.Wait, Beyond: e.OverShare, Loads: e.Loads})
 	case chuterelay.RejectJob:
-		n.update(e.Token, chuteshare.Update{
+		n.sendJobUpdate(e.Token, chuteshare.Update{
 			Failure: e.Reason, Leaving: e.Leaving, Wait: e.Wait, Beyond: e.OverShare, Loads: e.Loads,
 		})
 	case chuterelay.RunCall:
-		n.spawn(func(ctx context.Context) { n.runCall(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.runPartsCall(ctx, e) })
 	case chuterelay.FreeResults:
-		n.spawn(func(ctx context.Context) { n.free(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.freeResults(ctx, e) })
 	case chuterelay.DropConnections:
-		n.upstreams.Forget(e.Address)
+		n.upstreams.CloseIdle(e.Address)
 	case chuterelay.Probe:
-		n.spawn(func(ctx context.Context) { n.probe(ctx, e) })
+		n.spawn(func(ctx context.Context) { n.probeUpstream(ctx, e) })
 	case chuterelay.TickAt:
-		n.after(e.At, chuterelay.Ticked{})
+		n.sendEventAt(e.At, chuterelay.Ticked{})
 	case chuterelay.LogUpstreamLimit:
 		n.logLimit(e)
 	}
 }
 
-// logLimit writes one line for each change of an upstream's limit.
+// logLimit logs one line for each change of an upstream's limit.
 func (n *Node) logLimit(e chuterelay.LogUpstreamLimit) {
 	line := n.log.Info()
 	if e.Unreadable != "" {
@@ -77,113 +78,116 @@
 	}
 	line.Str("Upstream", e.Upstream.ID).Str("Pool", e.Upstream.Pool).Str("Peer", e.Upstream.Address).
 		Bool("Limited", e.Limited).Float64("PerSecond", e.Limit.PerSecond).Int("Quota", e.Limit.Quota).
-		Dur("SpanMs", e.Limit.Span).Str("From", e.Teller).Msg("upstream's limit")
+		Dur("SpanMs", e.Limit.Span).Str("From", e.Teller).Msg("upstream's limit changed")
 }
 
 func (n *Node) setDeadline(e chuterelay.SetDeadline) {
-	if entry, ok := n.entries[e.Handle]; ok {
-		entry.deadline = n.after(e.At, chuterelay.DeadlinePassed{Handle: e.Handle})
+	if req, ok := n.requests[e.Handle]; ok {
+		req.deadline = n.sendEventAt(e.At, chuterelay.DeadlinePassed{Handle: e.Handle})
 	}
 }
 
 func (n *Node) cancelSend(e chuterelay.CancelSend) {
-	entry, ok := n.entries[e.Handle]
+	req, ok := n.requests[e.Handle]
 	if !ok {
 		return
 	}
-	if cancel, ok := entry.attempts[e.Attempt]; ok {
+	if cancel, ok := req.attempts[e.Attempt]; ok {
 		cancel()
 	}
 }
 
-// deliver gives the caller the attempt's answer; of a stream only the end is left to give.
-func (n *Node) deliver(e chuterelay.Deliver) {
-	entry, ok := n.entries[e.Handle]
+// deliverAnswer gives the caller the attempt's buffered answer. Without one the answer was
+// streamed, and only its end is left to write.
+func (n *Node) deliverAnswer(e chuterelay.Deliver) {
+	req, ok := n.requests[e.Handle]
 	if !ok {
 		return
 	}
-	answer, ok := entry.answers[e.Attempt]
+	answer, ok := req.bufferedAnswers[e.Attempt]
 	if !ok {
-		n.end(e.Handle, final{})
+		n.finishRequest(e.Handle, requestResult{})
 
 		return
 	}
-	n.end(e.Handle, final{answer: &answer})
+	n.finishRequest(e.Handle, requestResult{answer: &answer})
 }
 
-// end hands a request's end to whoever waits for it; the first end counts.
-func (n *Node) end(handle uint64, f final) {
-	entry, ok := n.entries[handle]
+// finishRequest passes a request's result to the goroutine that serves the caller; only the first
+// result counts.
+func (n *Node) finishRequest(handle uint64, result requestResult) {
+	req, ok := n.requests[handle]
 	if !ok {
 		return
 	}
 	select {
-	case entry.final <- f:
+	case req.result <- result:
 	default:
 	}
 }
 
-// forget drops what is kept of a request.
-func (n *Node) forget(handle uint64) {
-	entry, ok := n.entries[handle]
+// forgetRequest deletes what the node keeps of a request, and cancels its attempts.
+func (n *Node) forgetRequest(handle uint64) {
+	req, ok := n.requests[handle]
 	if !ok {
 		return
 	}
-	n.end(handle, final{dropped: true})
-	if entry.deadline != nil {
-		entry.deadline.Stop()
+	n.finishRequest(handle, requestResult{abandoned: true})
+	if req.deadline != nil {
+		req.deadline.Stop()
 	}
-	for _, cancel := range entry.attempts {
+	for _, cancel := range req.attempts {
 		cancel()
 	}
-	delete(n.entries, handle)
+	delete(n.requests, handle)
 }
 
-// askParts runs a job at a peer's collector; the lease ends with dropAsk.
-func (n *Node) askParts(e chuterelay.RequestJob) {
-	ctx, cancel := context.WithCancel(n.running)
-	n.asks[e.JobRequestID] = cancel
+// requestParts runs a job at a peer's collector. cancelPartsRequest ends the lease on its results.
+func (n *Node) requestParts(e chuterelay.RequestJob) {
+	ctx, cancel := context.WithCancel(n.runContext)
+	n.partsRequestCancels[e.JobRequestID] = cancel
 	n.spawn(func(context.Context) {
 		defer cancel()
 		end, ended := n.peers.Make(ctx, e.Peer.Address, chuteshare.Ask{Job: e.Job, Loads: e.Loads}, n.Now(), func(u chuteshare.Update) {
-			n.send(chuterelay.JobDone{JobRequestID: e.JobRequestID, Results: u.Results, Wait: u.Wait, OverShare: u.Beyond, Loads: u.Loads})
+			n.sendEvent(chuterelay.JobDone{JobRequestID: e.JobRequestID, Results: u.Results, Wait: u.Wait, OverShare: u.Beyond, Loads: u.Loads})
 		})
 		if !ended {
 			return
 		}
-		n.send(chuterelay.JobFailed{
+		n.sendEvent(chuterelay.JobFailed{
 			JobRequestID: e.JobRequestID, PeerLost: end.Lost, PeerSilent: end.Silent, Reason: end.Reason, Wait: end.Wait,
 			OverShare: end.Beyond, Loads: end.Loads,
 		})
 	})
 }
 
-func (n *Node) dropAsk(id uint64) {
-	if cancel, ok := n.asks[id]; ok {
+func (n *Node) cancelPartsRequest(id uint64) {
+	if cancel, ok := n.partsRequestCancels[id]; ok {
 		cancel()
-		delete(n.asks, id)
+		delete(n.partsRequestCancels, id)
 	}
 }
 
-// update tells a peer what became of its job; the channel has room for the one update there is.
-func (n *Node) update(token uint64, u chuteshare.Update) {
-	if updates, ok := n.jobs[token]; ok {
+// sendJobUpdate tells a peer the outcome of its job. It never blocks: a job has one update, and the
+// channel has room for it.
+func (n *Node) sendJobUpdate(token uint64, u chuteshare.Update) {
+	if updates, ok := n.jobUpdates[token]; ok {
 		updates <- u
-		delete(n.jobs, token)
+		delete(n.jobUpdates, token)
 	}
 }
 
-// runCall hands a batch of parts to an upstream.
-func (n *Node) runCall(ctx context.Context, e chuterelay.RunCall) {
+// runPartsCall sends a batch of parts to an upstream.
+func (n *Node) runPartsCall(ctx context.Context, e chuterelay.RunCall) {
 	ctx, cancel := context.WithTimeout(ctx, e.Timeout)
 	defer cancel()
 	now := n.Now()
-	parts := make([]PartWork, 0, len(e.Call.Parts))
+	parts := make([]PartRequest, 0, len(e.Call.Parts))
 	for i, p := range e.Call.Parts {
 		job := e.Call.Jobs[i]
-		parts = append(parts, PartWork{
+		parts = append(parts, PartRequest{
 			Request: job.Request, Stage: job.Stage, Index: p.Index,
-			Left: job.Deadline.Sub(now), Key: job.Key, Inputs: job.Inputs,
+			TimeLeft: job.Deadline.Sub(now), Key: job.Key, Inputs: job.Inputs,
 		})
 	}
 	answer, err := n.upstreams.RunParts(ctx, e.Upstream, parts)
@@ -193,19 +197,19 @@
 	}
 	switch {
 	case err != nil:
-		ended.End, ended.Failure = lostCall(err)
+		ended.End, ended.Failure = classifyPartsFailure(err)
 		ended.Silent = asSendError(err).Silent
-		ended.UpstreamEnded = ended.End == chutebatch.CallLost && !ended.Silent && n.upstreamEnded(ctx, e.Upstream)
+		ended.UpstreamEnded = ended.End == chutebatch.CallLost && !ended.Silent && n.upstreamHasEnded(ctx, e.Upstream)
 		n.log.Debug().Err(err).Str("Upstream", e.Upstream.ID).Str("Pool", e.Upstream.Pool).
 			Int("Parts", len(parts)).Msg("call with parts failed")
 	case answer.Refused:
 		ended.End, ended.Failure = chutebatch.CallRefused, chutefleet.FailureFull
 	}
-	n.send(ended)
+	n.sendEvent(ended)
 }
 
-// lostCall says what a failed call with parts means.
-func lostCall(err error) (chutebatch.CallOutcome, chutefleet.FailureKind) {
+// classifyPartsFailure returns how a failed call with parts ended, and the kind of the failure.
+func classifyPartsFailure(err error) (chutebatch.CallOutcome, chutefleet.FailureKind) {
 	failure := asSendError(err)
 	kind := chutefleet.FailureBroken
 	if failure.Silent {
@@ -218,32 +222,33 @@
 	return chutebatch.CallLost, kind
 }
 
-// probe asks whether a silent upstream accepts connections again.
-func (n *Node) probe(ctx context.Context, e chuterelay.Probe) {
-	if !n.pause(ctx, e.At.Sub(n.Now())) {
+// probeUpstream checks, at the time given, whether a silent upstream accepts connections again.
+func (n *Node) probeUpstream(ctx context.Context, e chuterelay.Probe) {
+	if !n.sleep(ctx, e.At.Sub(n.Now())) {
 		return
 	}
-	n.send(chuterelay.ProbeEnded{Upstream: e.Upstream.ID, Alive: n.upstreams.Alive(ctx, e.Upstream.Address)})
+	n.sendEvent(chuterelay.ProbeEnded{Upstream: e.Upstream.ID, Alive: n.upstreams.AcceptsConnections(ctx, e.Upstream.Address)})
 }
 
-// free tells an upstream that results may go.
-func (n *Node) free(ctx context.Context, e chuterelay.FreeResults) {
-	ctx, cancel := context.WithTimeout(ctx, freeTimeout)
+// freeResults tells an upstream that results are no longer needed.
+func (n *Node) freeResults(ctx context.Context, e chuterelay.FreeResults) {
+	ctx, cancel := context.WithTimeout(ctx, freeResultsTimeout)
 	defer cancel()
-	if err := n.upstreams.Free(ctx, e.Upstream, e.Refs); err != nil {
+	if err := n.upstreams.FreeResults(ctx, e.Upstream, e.Refs); err != nil {
 		n.log.Debug().Err(err).Str("Upstream", e.Upstream.ID).Int("Results", len(e.Refs)).
-			Msg("results not freed; they run out by themselves")
+			Msg("results could not be freed; they expire by themselves")
 	}
 }
 
-// takeJob takes a peer's job to the own collector.
-func (n *Node) takeJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
-	n.sendWith(chuterelay.JobReceived{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobs[token] = updates })
+// acceptJob hands a peer's job to this node's own collector.
+func (n *Node) acceptJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
+	n.sendEventWith(chuterelay.JobReceived{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobUpdates[token] = updates })
 }
 
-// workspaceOf returns whose request a line is about. Only the first line and the last one
-// say it: the others are most of the log, and their request's id leads to these two.
-func workspaceOf(e chuterelay.LogStep) string {
+// workspaceForLog returns the workspace for a log line about a request, empty for most lines. Only
+// a request's first and last line name it: the other lines are most of the log, and their request
+// ID leads to these two.
+func workspaceForLog(e chuterelay.LogStep) string {
 	switch e.Step {
 	case chuterelay.StepAdmitted, chuterelay.StepRefused, chuterelay.StepAnswered, chuterelay.StepFailureDelivered, chuterelay.StepCancelled:
 		return e.Workspace
@@ -252,8 +257,8 @@
 	}
 }
 
-// logNote writes one decision on a request.
-func (n *Node) logNote(e chuterelay.LogStep) {
+// logDecision logs one decision on a request.
+func (n *Node) logDecision(e chuterelay.LogStep) {
 	line := n.log.Info().Str("Request", e.Request).Str("Pipeline", e.Pipeline).Str("Pool", e.Pool)
 	if e.Stage >= 0 {
 		line = line.Int("Stage", e.Stage)
@@ -265,7 +270,7 @@
 		line = line.Int64("AimMs", e.Aim.Milliseconds())
 	}
 	for _, field := range []struct{ name, value string }{
-		{"Fingerprint", e.Fingerprint}, {"Workspace", workspaceOf(e)}, {"Upstream", e.Upstream}, {"Peer", e.Peer}, {"At", e.Zone}, {"Reason", e.Reason},
+		{"Fingerprint", e.Fingerprint}, {"Workspace", workspaceForLog(e)}, {"Upstream", e.Upstream}, {"Peer", e.Peer}, {"At", e.Zone}, {"Reason", e.Reason},
 	} {
 		if field.value != "" {
 			line = line.Str(field.name, field.value)
--- a/internal/chutegate/read.go
+++ b/internal/chutegate/read.go
@@ -12,174 +12,178 @@
 )
 
 const (
-	// configWait and peersWait are how long one question for changes stays open. A
-	// connection that went silent is noticed waitMargin later; until then the node that
-	// asked, and those that follow it, can't tell how old the table is.
-	configWait = 700 * time.Millisecond
-	peersWait  = 3 * time.Second
-	// peersEvery is the least time between two reads of the list of nodes. When all
-	// nodes restart in turn it changes many times a second; whoever asks a node that is
-	// gone finds out by asking.
-	peersEvery = time.Second
-	// nodesPatience is how long a node that starts waits for the list of nodes before
-	// it reads the other tables from the store: another node has them already, and a
-	// zone that starts at once would have the store send them to each.
-	nodesPatience = 500 * time.Millisecond
-	waitMargin    = 500 * time.Millisecond
-	// upstreamsEvery is how often the upstreams' changes are read: their heartbeats
-	// change rows many times a second, so a question that waits would not wait. An
-	// upstream that is leaving has to be known within 2 s.
-	upstreamsEvery = 800 * time.Millisecond
-	// readTimeout bounds a read that does not wait: the store may answer sixty times
-	// slower than its usual 4 ms.
+	// configPollWait and peersPollWait are how long one long poll for changes stays open. A
+	// connection that goes silent is noticed pollTimeoutMargin later; until then the polling node
+	// and its followers can't tell how old the table is.
+	configPollWait = 700 * time.Millisecond
+	peersPollWait  = 3 * time.Second
+	// peersReadInterval is the minimum time between two reads of the list of nodes. When all nodes
+	// restart in turn, the list changes many times a second. A node that calls one which is gone
+	// finds out by the failed call.
+	peersReadInterval = time.Second
+	// nodesLoadTimeout is how long a starting node waits for the list of nodes before it reads the
+	// other tables from the store. Another node has those tables already, and if a whole zone
+	// starts at once the store would have to send them to each node.
+	nodesLoadTimeout  = 500 * time.Millisecond
+	pollTimeoutMargin = 500 * time.Millisecond
+	// upstreamsReadInterval is the time between two reads of the upstreams' changes. Heartbeats
+	// change their rows many times a second, so a long poll would return at once. A leaving
+	// upstream has to be known within 2 s.
+	upstreamsReadInterval = 800 * time.Millisecond
+	// readTimeout bounds a read that is not a long poll. The store may take sixty times its usual 4
+	// ms.
 	readTimeout = 800 * time.Millisecond
-	// retryPause is the pause after a failed read; it doubles with each further one
-	// up to longestRetryPause. All nodes read at once while the store is away, and
-	// each call counts; after its return a change has seconds to be in force.
-	retryPause        = 250 * time.Millisecond
-	longestRetryPause = 1500 * time.Millisecond
+	// readRetryPause is the pause after a failed read; it doubles with each further failure up to
+	// maxReadRetryPause. All nodes retry at once while the store is unavailable, and each call
+	// costs; after the store's return there are seconds left for a change to be in force.
+	readRetryPause    = 250 * time.Millisecond
+	maxReadRetryPause = 1500 * time.Millisecond
 )
 
-// errOld is the error of an answer that is older than what is known.
-var errOld = errors.New("the store's answer is older than what is known")
+// errStaleAnswer reports an answer of the store that is older than this node's table.
+var errStaleAnswer = errors.New("the store's answer is older than what is known")
 
-// read brings the watch up to date once, and says whether its rows may have changed.
-func (n *Node) read(ctx context.Context, w *watch, wait time.Duration, why callReason) (bool, error) {
-	after, synced := w.after()
+// readStore updates the table from the store once, and reports whether its rows may have changed.
+// pollWait is how long a poll for changes stays open, reason what the call is counted as.
+func (n *Node) readStore(ctx context.Context, local *localTable, pollWait time.Duration, reason callReason) (bool, error) {
+	after, synced := local.readPosition()
 	if !synced {
-		why = callStart
+		reason = callStart
 		if after > 0 {
-			why = callGap
+			reason = callGap
 		}
 	}
-	n.storeCalls.add(why)
+	n.storeCalls.add(reason)
 	began := n.Now()
 	if !synced {
 		ctx, cancel := context.WithTimeout(ctx, readTimeout)
 		defer cancel()
-		page, err := n.store.All(ctx, w.name)
+		page, err := n.store.ReadAll(ctx, local.name)
 		if err == nil && page.Version < after {
-			err = errOld
+			err = errStaleAnswer
 		}
 		if err != nil {
 			return false, err
 		}
-		news := w.replace(page)
-		w.confirm(began)
+		rowsChanged := local.replaceAll(page)
+		local.confirmAt(began)
 
-		return news, nil
+		return rowsChanged, nil
 	}
 	limit := readTimeout
-	if wait > 0 {
-		limit = wait + waitMargin
+	if pollWait > 0 {
+		limit = pollWait + pollTimeoutMargin
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	page, err := n.store.Changes(ctx, w.name, after, wait)
+	page, err := n.store.AwaitChanges(ctx, local.name, after, pollWait)
 	if errors.Is(err, ErrCompacted) {
-		n.log.Info().Str("Table", w.name).Uint64("After", after).Msg("history is gone, reading everything")
-		w.lost()
+		n.log.Info().Str("Table", local.name).Uint64("After", after).Msg("history is gone, reading everything")
+		local.requireFullRead()
 
 		return false, nil
 	}
 	if err == nil && page.Version < after {
-		err = errOld
+		err = errStaleAnswer
 	}
 	if err != nil {
 		return false, err
 	}
-	news := w.merge(page)
-	// The store may have looked as early as the question was sent, or as its wait was over.
-	w.confirm(began.Add(min(n.Now().Sub(began), wait)))
+	rowsChanged := local.mergeChanges(page)
+	// Without a wait the store may have looked as early as the call was sent, and with one as early
+	// as the wait was over. Time that the answer took beyond that does not count.
+	local.confirmAt(began.Add(min(n.Now().Sub(began), pollWait)))
 
-	return news, nil
+	return rowsChanged, nil
 }
 
-// keep keeps one table up to date until the node stops, and calls changed after
-// each read that may have changed it.
-func (n *Node) keep(ctx context.Context, w *watch, wait, every time.Duration, changed func()) {
-	if w != n.watches[n.settings.Tables.Peers] {
-		n.awaitNodes(ctx)
+// keepCurrent keeps one table up to date until the node stops, and calls onChange after each read
+// that may have changed it. minInterval is the minimum time between two reads of the store,
+// pollWait how long each of them stays open.
+func (n *Node) keepCurrent(ctx context.Context, local *localTable, pollWait, minInterval time.Duration, onChange func()) {
+	if local != n.localTables[n.settings.Tables.Peers] {
+		n.awaitNodeList(ctx)
 	}
 	var mu sync.Mutex
-	look := changed
-	changed = func() {
-		// A question beside the following may bring news at the same time as that.
+	notify := onChange
+	onChange = func() {
+		// refreshIfStale may find a change at the same time as followSource or a read does.
 		mu.Lock()
 		defer mu.Unlock()
-		look()
+		notify()
 	}
-	n.spawn(func(ctx context.Context) { n.refresh(ctx, w, changed) })
-	var direct time.Time
-	failed, lost := 0, 0
-	// told says that the last question was answered, and by the store.
-	told := false
+	n.spawn(func(ctx context.Context) { n.refreshIfStale(ctx, local, onChange) })
+	var directReadUntil time.Time
+	failedReads, lostInRow := 0, 0
+	// storeAnswered is true if the last read was made of the store and succeeded.
+	storeAnswered := false
 	for ctx.Err() == nil {
-		if n.Now().After(direct) {
-			end := n.follow(ctx, w, changed)
-			told = told && end == followNobody
-			switch end {
-			case followOther:
-				lost = 0
+		if n.Now().After(directReadUntil) {
+			stopped := n.followSource(ctx, local, onChange)
+			storeAnswered = storeAnswered && stopped == stopNoSource
+			switch stopped {
+			case stopSourceChanged:
+				lostInRow = 0
 
 				continue
-			case followLost:
-				if lost++; lost < lostInRow {
+			case stopSourceLost:
+				if lostInRow++; lostInRow < maxLostInRow {
 					continue
 				}
-				direct = n.Now().Add(directSpell)
-			case followCutOff:
-				direct = n.Now().Add(cutOffSpell)
-			case followNobody:
+				directReadUntil = n.Now().Add(directReadPeriod)
+			case stopOtherZoneSourceLost:
+				directReadUntil = n.Now().Add(crossZoneDirectReadPeriod)
+			case stopNoSource:
 			}
-			lost = 0
+			lostInRow = 0
 		}
 		began := n.Now()
-		why := callRead
-		if failed > 0 {
-			why = callRetry
+		reason := callRead
+		if failedReads > 0 {
+			reason = callRetry
 		}
-		err := n.readOnce(ctx, w, waitAfter(told, wait), why, changed)
-		told = err == nil
-		pause := every - n.Now().Sub(began)
+		err := n.readStoreOrPeer(ctx, local, nextPollWait(storeAnswered, pollWait), reason, onChange)
+		storeAnswered = err == nil
+		delay := minInterval - n.Now().Sub(began)
 		if err == nil {
-			failed = 0
+			failedReads = 0
 		} else {
-			pause = min(longestRetryPause, retryPause<<min(failed, 8))
-			failed++
+			delay = min(maxReadRetryPause, readRetryPause<<min(failedReads, 8))
+			failedReads++
 		}
-		if pause > 0 && !n.pause(ctx, pause) {
+		if delay > 0 && !n.sleep(ctx, delay) {
 			return
 		}
 	}
 }
 
-// awaitNodes waits until the list of nodes is known, or its time is over.
-func (n *Node) awaitNodes(ctx context.Context) {
+// awaitNodeList waits until the list of nodes is known, for nodesLoadTimeout at most.
+func (n *Node) awaitNodeList(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-n.nodesKnown:
-	case <-n.clock.After(nodesPatience):
+	case <-n.nodesLoaded:
+	case <-n.clock.After(nodesLoadTimeout):
 	}
 }
 
-// waitAfter is how long a question for changes stays open; told says that the store has
-// answered the one before.
+// nextPollWait returns how long the next poll for changes stays open; storeAnswered is true if the
+// store answered the previous one.
 //
-// The first one after a failure, and of a node that followed another until now, is to tell
-// at once: until it is answered this node counts as out of date, and all who follow it
+// The first poll after a failure, and the first one of a node that has followed a source until now,
+// is to return at once. Until it is answered this node counts as out of date, and all its followers
 // would ask the store themselves.
-func waitAfter(told bool, wait time.Duration) time.Duration {
-	if !told {
+func nextPollWait(storeAnswered bool, pollWait time.Duration) time.Duration {
+	if !storeAnswered {
 		return 0
 	}
 
-	return wait
+	return pollWait
 }
 
-// readOnce reads the store once, or a peer if the store does not answer.
-func (n *Node) readOnce(ctx context.Context, w *watch, wait time.Duration, why callReason, changed func()) error {
-	news, err := n.read(ctx, w, wait, why)
+// readStoreOrPeer reads the table from the store once, or from a peer if the store does not answer.
+// It returns the error of the store.
+func (n *Node) readStoreOrPeer(ctx context.Context, local *localTable, pollWait time.Duration, reason callReason, onChange func()) error {
+	rowsChanged, err := n.readStore(ctx, local, pollWait, reason)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -187,56 +191,57 @@
 		now := n.Now()
 		n.storeFailedAt.Store(&now)
 	}
-	w.setCurrent(err == nil)
-	if w.reached(err == nil, n.Now()) {
-		n.log.Info().Str("Table", w.name).Bool("Reached", err == nil).AnErr("Cause", err).Msg("store")
+	local.setCurrent(err == nil)
+	if local.recordStoreResult(err == nil, n.Now()) {
+		n.log.Info().Str("Table", local.name).Bool("Reached", err == nil).AnErr("Cause", err).Msg("store")
 	}
 	if err != nil {
-		news = n.askPeers(ctx, w)
+		rowsChanged = n.readFromPeers(ctx, local)
 	}
-	if w.unsettled(n.Now()) || news {
-		changed()
+	if local.needsReview(n.Now()) || rowsChanged {
+		onChange()
 	}
 
 	return err
 }
 
-// askPeers reads the table from another node, because the store does not answer this one.
+// readFromPeers reads the table from another node because the store does not answer this one, and
+// reports whether its rows may have changed.
 //
-// The store can turn some nodes away while it serves the others, and revoked keys
-// and leaving upstreams have to be known to all.
-func (n *Node) askPeers(ctx context.Context, w *watch) bool {
-	for _, peer := range n.somePeers() {
-		change, word, err := n.peers.ReadTable(ctx, peer.Address, w.name, w.snapshot())
+// The store can refuse some nodes while it serves others, and every node has to know of revoked
+// keys and leaving upstreams.
+func (n *Node) readFromPeers(ctx context.Context, local *localTable) bool {
+	for _, peer := range n.samplePeers() {
+		change, status, err := n.peers.ReadTable(ctx, peer.Address, local.name, local.snapshot())
 		if err != nil {
 			continue
 		}
 		if change.Version == 0 {
-			w.hearSay(word, n.Now())
+			local.recordPeerStatus(status, n.Now())
 
 			continue
 		}
-		defer w.hearSay(word, n.Now())
-		n.log.Info().Str("Table", w.name).Str("Peer", peer.Name).Uint64("Version", change.Version).Msg("read from a peer")
+		defer local.recordPeerStatus(status, n.Now())
+		n.log.Info().Str("Table", local.name).Str("Peer", peer.Name).Uint64("Version", change.Version).Msg("read from a peer")
 
-		return w.takeFrom(peer.Name, change)
+		return local.applyFromNode(peer.Name, change)
 	}
 
 	return false
 }
 
-// askAtOnce is how many peers one failed read asks: with half of the nodes cut
-// off, three miss the others once in eight reads.
-const askAtOnce = 3
+// peersPerFailedRead is the number of peers asked after a failed read. If half of the nodes are cut
+// off from the store, three random peers are all among them once in eight reads.
+const peersPerFailedRead = 3
 
-// somePeers returns other nodes, others each time.
-func (n *Node) somePeers() []chuterelay.Peer {
+// samplePeers returns up to peersPerFailedRead other nodes, chosen at random at each call.
+func (n *Node) samplePeers() []chuterelay.Peer {
 	others := n.listedPeers()
 	others = slices.DeleteFunc(others, func(p chuterelay.Peer) bool { return p.Name == n.settings.Self.Name })
-	if len(others) <= askAtOnce {
+	if len(others) <= peersPerFailedRead {
 		return others
 	}
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] }) //nolint:gosec // spreads questions, no secret
 
-	return others[:askAtOnce]
+	return others[:peersPerFailedRead]
 }
--- a/internal/chutegate/reports.go
+++ b/internal/chutegate/reports.go
@@ -9,42 +9,42 @@
 )
 
 const (
-	// maxReports bounds the rows of one transaction, and maxQueued those that wait for the
-	// store: a node has calls at some tens of upstreams.
-	maxReports = 64
-	maxQueued  = 1024
-	// maxSeen bounds the reports that are remembered so as not to be passed on twice.
-	maxSeen = 8192
+	// maxReportsPerBatch bounds the rows of one transaction or gossip message, and maxQueuedReports
+	// those that wait for the store. A node has calls at some tens of upstreams at a time.
+	maxReportsPerBatch = 64
+	maxQueuedReports   = 1024
+	// maxKnownReports bounds the reports that are remembered in order not to pass them on twice.
+	maxKnownReports = 8192
 )
 
-// reportQueue holds rows that are to be told or written; of one key the newest counts.
+// reportQueue holds rows to be sent or written; for each key only the newest row is kept.
 type reportQueue struct {
 	mu   sync.Mutex
 	rows map[string][]byte
-	// due has an item while there are rows.
-	due chan struct{}
+	// ready has an item while there are rows.
+	ready chan struct{}
 }
 
 func newReportQueue() *reportQueue {
-	return &reportQueue{rows: map[string][]byte{}, due: make(chan struct{}, 1)}
+	return &reportQueue{rows: map[string][]byte{}, ready: make(chan struct{}, 1)}
 }
 
-// add queues a row; false means that too many wait.
+// add queues a row; false means that the queue is full.
 func (q *reportQueue) add(row chutefeed.Row) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
-	if _, waits := q.rows[row.Key]; !waits && len(q.rows) >= maxQueued {
+	if _, waits := q.rows[row.Key]; !waits && len(q.rows) >= maxQueuedReports {
 		return false
 	}
 	q.rows[row.Key] = row.Value
-	q.wake()
+	q.signal()
 
 	return true
 }
 
-// addBack queues rows that could not be written, unless there are newer ones by now.
-func (q *reportQueue) addBack(rows []chutefeed.Row) {
+// requeue queues rows again that could not be written, except those with a newer row in the queue.
+func (q *reportQueue) requeue(rows []chutefeed.Row) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
@@ -53,26 +53,26 @@
 			q.rows[row.Key] = row.Value
 		}
 	}
-	q.wake()
+	q.signal()
 }
 
-// wake says that there are rows; the caller holds mu.
-func (q *reportQueue) wake() {
+// signal puts an item into ready; the caller holds mu.
+func (q *reportQueue) signal() {
 	select {
-	case q.due <- struct{}{}:
+	case q.ready <- struct{}{}:
 	default:
 	}
 }
 
-// next takes out the rows of one message or transaction.
-func (q *reportQueue) next() []chutefeed.Row {
+// takeBatch removes and returns the rows of one message or transaction.
+func (q *reportQueue) takeBatch() []chutefeed.Row {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 
 	var rows []chutefeed.Row
 	for key, value := range q.rows {
-		if len(rows) == maxReports {
-			q.wake()
+		if len(rows) == maxReportsPerBatch {
+			q.signal()
 
 			break
 		}
@@ -83,26 +83,26 @@
 	return rows
 }
 
-// seenReports are the rows that this node has told or heard.
-type seenReports struct {
+// reportSet holds the keys and hashes of rows that this node has sent or received.
+type reportSet struct {
 	mu   sync.Mutex
 	sums map[string]uint64
 }
 
-// isNews notes a row and says whether it is new here.
-func (w *seenReports) isNews(row chutefeed.Row) bool {
+// addIfNew records a row and reports whether the set did not contain it with this value.
+func (s *reportSet) addIfNew(row chutefeed.Row) bool {
 	sum := xxhash.Sum64(row.Value)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 
-	if known, ok := w.sums[row.Key]; ok && known == sum {
+	if known, ok := s.sums[row.Key]; ok && known == sum {
 		return false
 	}
-	if w.sums == nil || len(w.sums) >= maxSeen {
-		// Forgotten reports are passed on once more at most.
-		w.sums = map[string]uint64{}
+	if s.sums == nil || len(s.sums) >= maxKnownReports {
+		// A forgotten report is passed on one more time at most.
+		s.sums = map[string]uint64{}
 	}
-	w.sums[row.Key] = sum
+	s.sums[row.Key] = sum
 
 	return true
 }
