--- a/internal/chuteadmission/queue_test.go
+++ b/internal/chuteadmission/queue_test.go
@@ -109,10 +109,10 @@
 		qt.Assert(t, q.poolQueue("p").teams.nextFlow().content.workspaces.flows.size < 10, qt.IsTrue)
 	})
 	t.Run("earliest deadline inside a workspace, started work first", func(t *testing.T) {
-		begun := testWaiter("t", "w", 2)
-		begun.Started, begun.Key.RequestID = true, "begun"
-		q := NewQueue(true).WithWaiter(testWaiter("t", "w", 3)).WithWaiter(testWaiter("t", "w", 2)).WithWaiter(begun)
-		expectOrder(qt.New(t), q.WithWaiter(testWaiter("t", "w", 1)), "1", "begun", "2", "3")
+		started := testWaiter("t", "w", 2)
+		started.Started, started.Key.RequestID = true, "started"
+		q := NewQueue(true).WithWaiter(testWaiter("t", "w", 3)).WithWaiter(testWaiter("t", "w", 2)).WithWaiter(started)
+		expectOrder(qt.New(t), q.WithWaiter(testWaiter("t", "w", 1)), "1", "started", "2", "3")
 	})
 	t.Run("first come, first served when not fair", func(t *testing.T) {
 		q := NewQueue(false).WithWaiter(testWaiter("t", "a", 3)).WithWaiter(testWaiter("u", "b", 2)).WithWaiter(testWaiter("t", "a", 1))
@@ -221,7 +221,7 @@
 // workspace whose calls always bypass the queue would have no charge when others arrive.
 func TestBypassIsChargedLikePicked(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		picked, passed := NewQueue(true), NewQueue(true)
+		picked, bypassed := NewQueue(true), NewQueue(true)
 		n := rapid.IntRange(1, 8).Draw(rt, "n")
 		for i := range n {
 			w := Waiter{
@@ -230,22 +230,22 @@
 				Workspace: rapid.SampledFrom([]string{"w", "x"}).Draw(rt, "workspace"),
 			}
 			_, picked, _ = picked.WithWaiter(w).Next("pool")
-			passed = passed.WithBypass(w)
+			bypassed = bypassed.WithBypass(w)
 		}
 		for i := range n {
 			w := Waiter{
 				Key: chuterequest.Key{RequestID: fmt.Sprint("later-", i)}, Pool: "pool", TeamWeight: 1, WorkspaceWeight: 1,
 				Team: rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "later team"), Workspace: "w",
 			}
-			picked, passed = picked.WithWaiter(w), passed.WithWaiter(w)
+			picked, bypassed = picked.WithWaiter(w), bypassed.WithWaiter(w)
 		}
 		for range n {
 			first, rest, _ := picked.Next("pool")
-			second, others, _ := passed.Next("pool")
+			second, others, _ := bypassed.Next("pool")
 			if second.Key != first.Key {
 				rt.Fatalf("Next returned %v after waiting, %v after bypass", first.Key, second.Key)
 			}
-			picked, passed = rest, others
+			picked, bypassed = rest, others
 		}
 	})
 }
--- a/internal/chutecore/attempt.go
+++ b/internal/chutecore/attempt.go
@@ -21,12 +21,12 @@
 
 		return
 	}
-	attempt, current := r.runningAttempt(e.Attempt)
+	attempt, isRunning := r.runningAttempt(e.Attempt)
 	// An attempt that is not running for the current stage lost to another attempt
 	// or was cancelled. Accepting its result would pass a stage's output on twice;
 	// it can be discarded, since the accepted result is complete.
-	st.chargeUsage(e.Attempt, e.Work, e.Usage, !current)
-	if current {
+	st.chargeUsage(e.Attempt, e.Work, e.Usage, !isRunning)
+	if isRunning {
 		st.acceptResult(r, attempt, e)
 	}
 	st.dispatchQueued(e.Work.Pool)
@@ -34,23 +34,23 @@
 
 // acceptResult makes the attempt's result the stage's result, cancels the other
 // attempts of the stage, and ends the request or starts its next stage.
-func (st *transition) acceptResult(r Request, taken Attempt, e AttemptFinished) {
-	st.settleQueueCharge(r, taken, taken.age(st.now))
+func (st *transition) acceptResult(r Request, accepted Attempt, e AttemptFinished) {
+	st.settleQueueCharge(r, accepted, accepted.age(st.now))
 	st.retries = st.retries.WithSuccess()
 	st.hedges = st.hedges.WithSuccess()
 	st.recordCachedBlocks(r, e)
 	for _, other := range r.Running {
-		if other.ID != taken.ID {
+		if other.ID != accepted.ID {
 			st.cancelAttempt(r, other)
 		}
 	}
 	last := r.Stage == len(r.Stages)-1
 	if last {
-		st.endRequest(r, chuterequest.Outcome{Kind: chuterequest.OutcomeAnswered}, taken.ID)
+		st.endRequest(r, chuterequest.Outcome{Kind: chuterequest.OutcomeAnswered}, accepted.ID)
 
 		return
 	}
-	st.startStage(r.WithStageTaken(taken.ID, e.NextBlocks))
+	st.startStage(r.WithStageResult(accepted.ID, e.NextBlocks))
 }
 
 // recordCachedBlocks records in the routing table which prompt blocks the engine now has cached.
@@ -109,8 +109,8 @@
 
 		return
 	}
-	attempt, current := r.runningAttempt(e.Attempt)
-	if !current {
+	attempt, isRunning := r.runningAttempt(e.Attempt)
+	if !isRunning {
 		st.dispatchQueued(e.Work.Pool)
 
 		return
--- a/internal/chutecore/reduce_test.go
+++ b/internal/chutecore/reduce_test.go
@@ -245,12 +245,12 @@
 // If a dead node may have run the post just before, it is Unknown, since NotRun
 // would lead the caller to publish a second time.
 func TestClaimFailureOutcome(t *testing.T) {
-	for excluded, kind := range map[bool]chuterequest.OutcomeKind{
+	for noOtherSubmission, kind := range map[bool]chuterequest.OutcomeKind{
 		true: chuterequest.OutcomeNotRun, false: chuterequest.OutcomeUnknown,
 	} {
 		d := newDriver(t, 2, nil)
 		d.sendRequest(1, "post")
-		d.reduce(ClaimFailed{Stamp: d.stamp(), Handle: 1, NoOtherAttempt: excluded})
+		d.reduce(ClaimFailed{Stamp: d.stamp(), Handle: 1, NoOtherSubmission: noOtherSubmission})
 		qt.Assert(t, expectOutcome(t, d, kind).RetryAfter > 0, qt.IsTrue)
 		expectNone[Dispatch](t, d)
 	}
--- a/internal/chutecore/request.go
+++ b/internal/chutecore/request.go
@@ -153,8 +153,8 @@
 	return r
 }
 
-// WithStageTaken returns the request at its next stage, with the attempt's result accepted for the current one.
-func (r Request) WithStageTaken(id chuterequest.AttemptID, nextBlocks []uint64) Request {
+// WithStageResult returns the request at its next stage, with the attempt's result accepted for the current one.
+func (r Request) WithStageResult(id chuterequest.AttemptID, nextBlocks []uint64) Request {
 	r.Result = id
 	r.Stage++
 	r.Tries = 0
--- a/internal/chutenode/claims.go
+++ b/internal/chutenode/claims.go
@@ -64,7 +64,7 @@
 func (n *Node) reportClaimFailed(handle uint64, key chuterequest.Key, unclaimed bool, err error, over func()) {
 	excluded := unclaimed || n.excluded(n.running, key)
 	n.sendWith(chutecore.ClaimFailed{
-		Stamp: n.stamp(), Handle: handle, Reason: reasonOf(err), NoOtherAttempt: excluded,
+		Stamp: n.stamp(), Handle: handle, Reason: reasonOf(err), NoOtherSubmission: excluded,
 	}, over)
 }
 
--- a/internal/chuteproof/ours_test.go
+++ b/internal/chuteproof/ours_test.go
@@ -155,7 +155,7 @@
 	switch {
 	case n.w.claimFault():
 		n.w.faults++
-		n.event(chutecore.ClaimFailed{Stamp: n.stamp(), Handle: e.Handle, Reason: "outage", NoOtherAttempt: !held})
+		n.event(chutecore.ClaimFailed{Stamp: n.stamp(), Handle: e.Handle, Reason: "outage", NoOtherSubmission: !held})
 	case held && row.done:
 		n.event(chutecore.ClaimSettled{Stamp: n.stamp(), Handle: e.Handle, Outcome: row.answer.outcome})
 	case held:
