--- a/internal/chutecore/arrival.go
+++ b/internal/chutecore/arrival.go
@@ -51,8 +51,8 @@
 //
 // The request may be a resend: a balancer sends an enrolment again after its
 // first node died, or a caller asks again with the same RequestID. Answering
-// NotRun because this node is full would be false if the first attempt ran. The
-// look-up is enough, since an attempt writes its claim row before it runs.
+// NotRun because this node is full would be false if the first submission ran. The
+// look-up is enough, since whatever runs has written its claim row first.
 func (st *transition) refuseUnlessAlreadyRun(r Request, refusal chuterequest.Outcome) {
 	r.Refusal = &refusal
 	st.setRequest(r.WithPhase(PhaseRefusing))
@@ -140,8 +140,8 @@
 	}
 }
 
-// probeInterval sets the share of probes: of the requests that only their learned
-// service times speak against, one in probeInterval is admitted.
+// probeInterval sets the share of probes: of the requests that would be refused only
+// for their learned service times, about one in probeInterval is admitted.
 const probeInterval = 16
 
 // drawProbe reports, at random, whether to admit a request that would be refused
--- a/internal/chutecore/reduce_test.go
+++ b/internal/chutecore/reduce_test.go
@@ -195,7 +195,7 @@
 }
 
 // The deadline passes before the table answers. The outcome is Unknown, since the
-// table has not confirmed that no earlier attempt ran. A claim that is taken later
+// table has not confirmed that no earlier submission ran. A claim that is taken later
 // is given up and never used: the caller may have published again meanwhile.
 func TestLateClaimIsGivenUp(t *testing.T) {
 	d := newDriver(t, 2, nil)
@@ -284,7 +284,7 @@
 		d.failAttempt(expectEffect[Dispatch](t, d), chuterequest.Failure{Kind: chuterequest.FailureRefused, NotTaken: true}, 0)
 		expectOutcome(t, d, chuterequest.OutcomeNotRun)
 	})
-	t.Run("another attempt holds the claim", func(t *testing.T) {
+	t.Run("another submission holds the claim", func(t *testing.T) {
 		d := newDriver(t, 1, nil)
 		d.sendRequest(1, "post")
 		d.reduce(ClaimHeld{Stamp: d.stamp(), Handle: 1})
--- a/internal/chutecore/request.go
+++ b/internal/chutecore/request.go
@@ -14,12 +14,12 @@
 // The phases of a request in flight.
 const (
 	PhaseClaiming Phase = "Claiming"
-	// PhaseFollowing means that another attempt holds the claim and the request waits for its result.
+	// PhaseFollowing means that another submission holds the claim and the request waits for its result.
 	PhaseFollowing Phase = "Following"
 	PhaseQueued    Phase = "Queued"
 	// PhaseRefusing means that the request is refused unless a look-up finds that its key has already run.
 	PhaseRefusing Phase = "Refusing"
-	// PhaseUnclaimed means that the claim could not be taken, but no other attempt has run the key.
+	// PhaseUnclaimed means that the claim could not be taken, but no other submission has run the key.
 	PhaseUnclaimed Phase = "Unclaimed"
 	PhaseRunning   Phase = "Running"
 )
@@ -153,7 +153,7 @@
 	return r
 }
 
-// WithStageResult returns the request at its next stage, with the attempt's result accepted for the current one.
+// WithStageResult returns the request at its next stage, with the attempt's result accepted for the stage before.
 func (r Request) WithStageResult(id chuterequest.AttemptID, nextBlocks []uint64) Request {
 	r.Result = id
 	r.Stage++
