--- a/internal/chutefleet/availability_test.go
+++ b/internal/chutefleet/availability_test.go
@@ -16,45 +16,45 @@
 		now   time.Time
 		want  Availability
 		// lasting says that the upstream is no part of its pool either.
-		lasting bool
+		removesFromPool bool
 	}{
 		{name: "a listed one", fleet: both, now: start},
-		{name: "one that is not listed", fleet: New("z1"), now: start, want: Availability{Bar: BarUnlisted}, lasting: true},
-		{name: "a leaving one", fleet: both.WithLeaving("a"), now: start, want: Availability{Bar: BarLeaving}, lasting: true},
+		{name: "one that is not listed", fleet: New("z1"), now: start, want: Availability{Reason: BlockUnlisted}, removesFromPool: true},
+		{name: "a leaving one", fleet: both.WithLeaving("a"), now: start, want: Availability{Reason: BlockLeaving}, removesFromPool: true},
 		{
 			name:  "one whose entry can't be read",
-			fleet: both.WithListed([]Upstream{{Name: "a", State: StateUnreadable}}, true, start), now: start,
-			want: Availability{Bar: BarUnreadable}, lasting: true,
+			fleet: both.WithList([]Upstream{{Name: "a", State: StateUnreadable}}, true, start), now: start,
+			want: Availability{Reason: BlockUnreadable}, removesFromPool: true,
 		},
 		{
 			name: "one in an evacuated zone", fleet: both.WithEvacuated([]string{"z1"}, start), now: start,
-			want: Availability{Bar: BarEvacuated}, lasting: true,
+			want: Availability{Reason: BlockEvacuated}, removesFromPool: true,
 		},
 		{name: "one beside an evacuated zone", fleet: both.WithEvacuated([]string{"z2"}, start), now: start},
 		{name: "one whose zone is taken back", fleet: both.WithEvacuated([]string{"z1"}, start).WithEvacuated(nil, start), now: start},
 		{
 			// A list read before the evacuation must not open the zone again.
 			name:  "one that is listed anew while its zone is evacuated",
-			fleet: both.WithEvacuated([]string{"z1"}, start).WithListed([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start),
-			now:   start, want: Availability{Bar: BarEvacuated}, lasting: true,
+			fleet: both.WithEvacuated([]string{"z1"}, start).WithList([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start),
+			now:   start, want: Availability{Reason: BlockEvacuated}, removesFromPool: true,
 		},
 		{
 			name: "one that went silent, until its pause is over", fleet: silent, now: start,
-			want: Availability{Bar: BarSetAside, Until: start.Add(firstAside)},
+			want: Availability{Reason: BlockSetAside, Until: start.Add(initialSetAside)},
 		},
-		{name: "one whose pause is over", fleet: silent, now: start.Add(firstAside)},
+		{name: "one whose pause is over", fleet: silent, now: start.Add(initialSetAside)},
 		{
-			name: "one that a call is trying", fleet: silent.WithSent("a", 0, start), now: start.Add(firstAside),
-			want: Availability{Bar: BarTried},
+			name: "one that a call is trying", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSetAside),
+			want: Availability{Reason: BlockTrial},
 		},
 		{
 			name: "a cold one of which this node is no owner, until it is warm", fleet: coldFleet(1, "n1", "n2"), now: start,
-			want: Availability{Bar: BarCold, Until: start.Add(time.Second)},
+			want: Availability{Reason: BlockCold, Until: start.Add(time.Second)},
 		},
 		{name: "a cold one of which it is", fleet: coldFleet(2, "n1", "n2"), now: start},
 		{
-			name: "one that has got its part, until the next", fleet: coldFleet(2, "n1", "n2").WithSent("a", 0, start), now: start,
-			want: Availability{Bar: BarCold, Until: start.Add(1200 * time.Millisecond)},
+			name: "one that has got its part, until the next", fleet: coldFleet(2, "n1", "n2").WithCallSent("a", 0, start), now: start,
+			want: Availability{Reason: BlockCold, Until: start.Add(1200 * time.Millisecond)},
 		},
 		{name: "one that was cold", fleet: coldFleet(1, "n1", "n2"), now: start.Add(time.Second)},
 		{
@@ -62,49 +62,49 @@
 		},
 		{
 			name: "a cold one before the nodes are known", fleet: coldFleet(9, "n1"), now: start,
-			want: Availability{Bar: BarCold, Until: start.Add(time.Second)},
+			want: Availability{Reason: BlockCold, Until: start.Add(time.Second)},
 		},
 		{
 			name: "leaving goes before silence", fleet: silent.WithLeaving("a"), now: start,
-			want: Availability{Bar: BarLeaving}, lasting: true,
+			want: Availability{Reason: BlockLeaving}, removesFromPool: true,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			c.Assert(test.fleet.Availability("a", test.now), qt.Equals, test.want)
-			c.Assert(test.want.Bar.Lasting(), qt.Equals, test.lasting)
+			c.Assert(test.want.Reason.RemovesFromPool(), qt.Equals, test.removesFromPool)
 			alone := test.fleet.WithLeaving("b")
-			c.Assert(alone.Empty("p", test.now), qt.Equals, test.lasting)
-			c.Assert(alone.Len("p", test.now) == 0, qt.Equals, test.lasting)
-			expectEverywhere(c, test.fleet, "a", test.now, test.want.Open())
+			c.Assert(alone.IsPoolEmpty("p", test.now), qt.Equals, test.removesFromPool)
+			c.Assert(alone.PoolSize("p", test.now) == 0, qt.Equals, test.removesFromPool)
+			expectConsistent(c, test.fleet, "a", test.now, test.want.IsAvailable())
 		})
 	}
 }
 
-// expectEverywhere fails unless all that hand out upstreams go by the same answer.
-func expectEverywhere(c *qt.C, f Fleet, id string, now time.Time, open bool) {
+// expectConsistent fails unless all that hand out upstreams go by the same answer.
+func expectConsistent(c *qt.C, f Fleet, id string, now time.Time, wantAvailable bool) {
 	c.Helper()
-	usable := false
-	for _, u := range f.UsableIn("p", now) {
-		usable = usable || u.ID == id
+	available := false
+	for _, u := range f.AvailableInPool("p", now) {
+		available = available || u.ID == id
 	}
-	c.Assert(usable, qt.Equals, open)
-	c.Assert(f.UsableInZone("p", "z1", now), qt.Equals, open)
-	chosen, ok := f.Choose(Query{Pool: "p", Without: []string{"b"}}, now, 0)
-	c.Assert(ok && chosen.ID == id, qt.Equals, open)
+	c.Assert(available, qt.Equals, wantAvailable)
+	c.Assert(f.HasAvailableInZone("p", "z1", now), qt.Equals, wantAvailable)
+	chosen, ok := f.Choose(Query{Pool: "p", Exclude: []string{"b"}}, now, 0)
+	c.Assert(ok && chosen.ID == id, qt.Equals, wantAvailable)
 }
 
 // coldFleet is that of node "n1" with upstream "a" cold for a second and "b" warm, of which
 // the nodes together may send "a" so many calls a second; with one node only, it knows none.
-func coldFleet(calls int, nodes ...string) Fleet {
+func coldFleet(callsPerSecond int, nodes ...string) Fleet {
 	cold := upstream("a", "z1")
 	cold.Cold = time.Second
-	f := New("z1").WithColdBounds(map[string]ColdBound{"p": {Calls: calls, Time: time.Second}})
+	f := New("z1").WithColdBounds(map[string]ColdBound{"p": {CallsPerSecond: callsPerSecond, Duration: time.Second}})
 	if len(nodes) > 1 {
 		f = f.WithNodes("n1", nodes)
 	}
 
-	return f.WithListed([]Upstream{cold, upstream("b", "z2")}, false, start)
+	return f.WithList([]Upstream{cold, upstream("b", "z2")}, false, start)
 }
 
 func TestWarmup(t *testing.T) {
@@ -113,35 +113,35 @@
 		f := coldFleet(1, "n1", "n2")
 		cold := upstream("a", "z1")
 		cold.Cold = time.Second
-		f = f.WithListed([]Upstream{cold, upstream("b", "z2")}, false, start.Add(900*time.Millisecond))
-		c.Assert(f.Availability("a", start.Add(time.Second)).Open(), qt.IsTrue)
+		f = f.WithList([]Upstream{cold, upstream("b", "z2")}, false, start.Add(900*time.Millisecond))
+		c.Assert(f.Availability("a", start.Add(time.Second)).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("the word that it is warm counts at once", func(t *testing.T) {
 		c := qt.New(t)
-		f := coldFleet(1, "n1", "n2").WithListed([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start)
-		c.Assert(f.Availability("a", start).Open(), qt.IsTrue)
+		f := coldFleet(1, "n1", "n2").WithList([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start)
+		c.Assert(f.Availability("a", start).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("a node that is listed later owns its part from then on", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(2, "n1")
-		c.Assert(f.Availability("a", start).Open(), qt.IsFalse)
-		c.Assert(f.WithNodes("n1", []string{"n1", "n2"}).Availability("a", start).Open(), qt.IsTrue)
+		c.Assert(f.Availability("a", start).IsAvailable(), qt.IsFalse)
+		c.Assert(f.WithNodes("n1", []string{"n1", "n2"}).Availability("a", start).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("one that turns cold by its own word counts as cold", func(t *testing.T) {
 		c := qt.New(t)
-		f := coldFleet(2, "n1", "n2").WithCold("b", time.Second, start).WithSent("b", 0, start)
-		c.Assert(f.Availability("b", start).Bar, qt.Equals, BarCold)
-		c.Assert(f.Availability("b", start.Add(time.Second)).Open(), qt.IsTrue)
+		f := coldFleet(2, "n1", "n2").WithCold("b", time.Second, start).WithCallSent("b", 0, start)
+		c.Assert(f.Availability("b", start).Reason, qt.Equals, BlockCold)
+		c.Assert(f.Availability("b", start.Add(time.Second)).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("a zone that is taken back is cold although its entries say nothing yet", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(1, "n0", "n2").WithNodes("n1", []string{"n0"})
 		f = f.WithEvacuated([]string{"z2"}, start).WithEvacuated(nil, start)
-		c.Assert(f.Availability("b", start).Bar, qt.Equals, BarCold)
-		c.Assert(f.Availability("b", start.Add(time.Second)).Open(), qt.IsTrue)
+		c.Assert(f.Availability("b", start).Reason, qt.Equals, BlockCold)
+		c.Assert(f.Availability("b", start.Add(time.Second)).IsAvailable(), qt.IsTrue)
 	})
 }
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -58,41 +58,41 @@
 )
 
 const (
-	// firstAside and longestAside bound how long an upstream that went silent gets
+	// initialSetAside and longestAside bound how long an upstream that went silent gets
 	// no call: long enough that few callers meet it, short enough that a restart
 	// (2 to 5 s) is noticed within a second of its end.
-	firstAside   = 500 * time.Millisecond
-	longestAside = 2 * time.Second
-	// evidenceHalfLife is how fast failures are forgotten; a spell of failing
+	initialSetAside = 500 * time.Millisecond
+	maxSetAside     = 2 * time.Second
+	// failureHalfLife is how fast failures are forgotten; a spell of failing
 	// lasts some seconds.
-	evidenceHalfLife = 2 * time.Second
-	// forgotten is the evidence that is too little to prefer another upstream.
-	forgotten = 0.05
-	// reportLife is how long an upstream's own word on its load counts.
-	reportLife = time.Second
-	// fullPause is how long an upstream that refused for want of room counts as full.
-	fullPause = 100 * time.Millisecond
+	failureHalfLife = 2 * time.Second
+	// negligibleFailures is the evidence that is too little to prefer another upstream.
+	negligibleFailures = 0.05
+	// loadReportLifetime is how long an upstream's own word on its load counts.
+	loadReportLifetime = time.Second
+	// fullDuration is how long an upstream that refused for want of room counts as full.
+	fullDuration = 100 * time.Millisecond
 )
 
 // member is an upstream with this node's evidence on it.
 type member struct {
 	Upstream
-	// before is the id of the incarnation that this one has replaced; empty if none is known.
-	before string
+	// replacedID is the id of the incarnation that this one has replaced; empty if none is known.
+	replacedID string
 	// unreadable says that its entry in the list can't be read at present.
 	unreadable bool
 	inFlight   int
-	// tokens are the prompt tokens sent there and not yet read, as far as known.
-	tokens int64
-	// failing is the decayed count of recent failures, as of failedAt.
-	failing  float64
-	failedAt time.Time
-	// silent counts failures by silence since the last answer.
-	silent     int
-	asideUntil time.Time
-	fullUntil  time.Time
-	// others is the load from elsewhere that the upstream's last report implies.
-	others     int
+	// unreadTokens are the prompt tokens sent there and not yet read, as far as known.
+	unreadTokens int64
+	// failures is the decayed count of recent failures, as of failedAt.
+	failures   float64
+	failuresAt time.Time
+	// silentFailures counts failures by silence since the last answer.
+	silentFailures int
+	setAsideUntil  time.Time
+	fullUntil      time.Time
+	// otherCalls is the load from elsewhere that the upstream's last report implies.
+	otherCalls int
 	reportedAt time.Time
 	warmup     warmup
 	limit      limit
@@ -107,12 +107,12 @@
 	// incarnations maps a name to the id of its present incarnation, and ended holds
 	// the ids of those right before them; both are replaced, never changed.
 	incarnations map[string]string
-	ended        map[string]bool
+	replacedIDs  map[string]bool
 	// evacuated are the zones whose upstreams get nothing; it is replaced, never changed.
 	evacuated map[string]bool
 	bounds    coldBounds
-	// sharers are the nodes among which the limits of upstreams are dealt out.
-	sharers chutequota.Owners
+	// limitOwners are the nodes among which the limits of upstreams are dealt out.
+	limitOwners chutequota.Owners
 }
 
 // New returns an empty fleet as seen from a zone.
@@ -120,8 +120,8 @@
 	return Fleet{zone: zone, members: immutable.NewMap[string, member](nil), pools: map[string][]string{}}
 }
 
-// with returns the fleet with one member changed; an unknown id changes nothing.
-func (f Fleet) with(id string, change func(m *member)) Fleet {
+// withMember returns the fleet with one member changed; an unknown id changes nothing.
+func (f Fleet) withMember(id string, change func(m *member)) Fleet {
 	m, ok := f.members.Get(id)
 	if !ok {
 		return f
@@ -132,66 +132,66 @@
 	return f
 }
 
-// WithSent counts a call on its way to the upstream.
-func (f Fleet) WithSent(id string, tokens int64, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
+// WithCallSent counts a call on its way to the upstream.
+func (f Fleet) WithCallSent(id string, tokens int64, now time.Time) Fleet {
+	return f.withMember(id, func(m *member) {
 		m.inFlight++
-		if m.warmup.cold(now) {
-			m.warmup.sent = m.warmup.sent.With(coldSpan, now)
+		if m.warmup.isCold(now) {
+			m.warmup.sent = m.warmup.sent.With(coldQuotaSpan, now)
 		}
-		if m.limit.named {
-			m.limit = m.limit.withSent(now)
+		if m.limit.isSet {
+			m.limit = m.limit.withCallSent(now)
 		}
-		m.tokens += tokens
+		m.unreadTokens += tokens
 	})
 }
 
-// WithRead takes back tokens that the upstream has read by now.
-func (f Fleet) WithRead(id string, tokens int64) Fleet {
-	return f.with(id, func(m *member) { m.tokens = max(0, m.tokens-tokens) })
+// WithTokensRead takes back tokens that the upstream has read by now.
+func (f Fleet) WithTokensRead(id string, tokens int64) Fleet {
+	return f.withMember(id, func(m *member) { m.unreadTokens = max(0, m.unreadTokens-tokens) })
 }
 
-// WithDone ends a call that WithSent began.
-func (f Fleet) WithDone(id string) Fleet {
-	return f.with(id, func(m *member) { m.inFlight = max(0, m.inFlight-1) })
+// WithCallDone ends a call that WithSent began.
+func (f Fleet) WithCallDone(id string) Fleet {
+	return f.withMember(id, func(m *member) { m.inFlight = max(0, m.inFlight-1) })
 }
 
 // WithSuccess records an answer: whoever answers is not silent.
 func (f Fleet) WithSuccess(id string, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
-		m.failing = m.evidence(now) / 2
-		m.failedAt = now
-		m.silent = 0
-		m.asideUntil = time.Time{}
+	return f.withMember(id, func(m *member) {
+		m.failures = m.recentFailures(now) / 2
+		m.failuresAt = now
+		m.silentFailures = 0
+		m.setAsideUntil = time.Time{}
 	})
 }
 
 // WithFailure records a failed call.
 func (f Fleet) WithFailure(id string, kind FailureKind, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
+	return f.withMember(id, func(m *member) {
 		if kind == FailureFull {
-			m.fullUntil = now.Add(fullPause)
+			m.fullUntil = now.Add(fullDuration)
 
 			return
 		}
-		m.failing = m.evidence(now) + 1
-		m.failedAt = now
+		m.failures = m.recentFailures(now) + 1
+		m.failuresAt = now
 		if kind == FailureSilent {
-			m.silent++
-			m.asideUntil = now.Add(min(longestAside, firstAside<<min(m.silent-1, 4)))
+			m.silentFailures++
+			m.setAsideUntil = now.Add(min(maxSetAside, initialSetAside<<min(m.silentFailures-1, 4)))
 		}
 	})
 }
 
 // WithLeaving marks an incarnation as leaving; that word is never taken back.
 func (f Fleet) WithLeaving(id string) Fleet {
-	return f.with(id, func(m *member) { m.State = StateLeaving })
+	return f.withMember(id, func(m *member) { m.State = StateLeaving })
 }
 
 // WithLoad takes in an upstream's own word on its load.
 func (f Fleet) WithLoad(id string, running, waiting int, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
-		m.others = max(0, running+waiting-m.inFlight)
+	return f.withMember(id, func(m *member) {
+		m.otherCalls = max(0, running+waiting-m.inFlight)
 		m.reportedAt = now
 	})
 }
@@ -214,8 +214,8 @@
 	return n
 }
 
-// View is what a state dump shows of one upstream.
-type View struct {
+// UpstreamView is what a state dump shows of one upstream.
+type UpstreamView struct {
 	Upstream
 	InFlight int
 	Failing  float64
@@ -226,47 +226,47 @@
 }
 
 // Views returns every upstream, sorted by pool and id.
-func (f Fleet) Views(now time.Time) []View {
-	var views []View
+func (f Fleet) Views(now time.Time) []UpstreamView {
+	var views []UpstreamView
 	for i := f.members.Iterator(); !i.Done(); {
 		_, m, _ := i.Next()
-		view := View{
+		view := UpstreamView{
 			Upstream: m.Upstream, InFlight: m.inFlight,
-			Failing: m.evidence(now), Availability: f.availability(&m, now),
+			Failing: m.recentFailures(now), Availability: f.availability(&m, now),
 		}
-		if m.limit.named {
+		if m.limit.isSet {
 			view.Limit = &m.limit.Limit
 		}
 		views = append(views, view)
 	}
-	slices.SortFunc(views, func(a, b View) int {
+	slices.SortFunc(views, func(a, b UpstreamView) int {
 		return cmp.Or(cmp.Compare(a.Pool, b.Pool), cmp.Compare(a.ID, b.ID))
 	})
 
 	return views
 }
 
-// evidence is the decayed count of recent failures.
-func (m *member) evidence(now time.Time) float64 {
-	if m.failing == 0 {
+// recentFailures is the decayed count of recent failures.
+func (m *member) recentFailures(now time.Time) float64 {
+	if m.failures == 0 {
 		return 0
 	}
 
-	left := m.failing * math.Exp2(-float64(now.Sub(m.failedAt))/float64(evidenceHalfLife))
-	if left < forgotten {
+	decayed := m.failures * math.Exp2(-float64(now.Sub(m.failuresAt))/float64(failureHalfLife))
+	if decayed < negligibleFailures {
 		return 0
 	}
 
-	return left
+	return decayed
 }
 
-// load is the number of calls believed to be there now.
-func (m *member) load(now time.Time) float64 {
+// estimatedLoad is the number of calls believed to be there now.
+func (m *member) estimatedLoad(now time.Time) float64 {
 	age := now.Sub(m.reportedAt)
-	if age >= reportLife || m.reportedAt.IsZero() {
+	if age >= loadReportLifetime || m.reportedAt.IsZero() {
 		return float64(m.inFlight)
 	}
-	fresh := 1 - float64(age)/float64(reportLife)
+	weight := 1 - float64(age)/float64(loadReportLifetime)
 
-	return float64(m.inFlight) + float64(m.others)*fresh
+	return float64(m.inFlight) + float64(m.otherCalls)*weight
 }
--- a/internal/chutefleet/fleet_test.go
+++ b/internal/chutefleet/fleet_test.go
@@ -15,7 +15,7 @@
 }
 
 func fleetOf(upstreams ...Upstream) Fleet {
-	return New("z1").WithListed(upstreams, false, start)
+	return New("z1").WithList(upstreams, false, start)
 }
 
 // expectChosen draws many times and fails unless exactly these upstreams are chosen.
@@ -40,7 +40,7 @@
 		// comes late and says ready. A call sent on its word would be cut off.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithLeaving("a")
-		f = f.WithListed([]Upstream{upstream("a", "z1"), upstream("b", "z1")}, false, start)
+		f = f.WithList([]Upstream{upstream("a", "z1"), upstream("b", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
 	})
 
@@ -49,9 +49,9 @@
 		// and are back in the list within seconds; without them the pool is empty.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"))
-		held := f.WithListed(nil, true, start)
+		held := f.WithList(nil, true, start)
 		expectChosen(c, held, Query{Pool: "p"}, start, "a")
-		expectChosen(c, held.WithListed(nil, false, start), Query{Pool: "p"}, start)
+		expectChosen(c, held.WithList(nil, false, start), Query{Pool: "p"}, start)
 	})
 }
 
@@ -62,11 +62,11 @@
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithFailure("a", FailureSilent, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
-		later := start.Add(firstAside)
-		c.Assert(f.Availability("a", later).Open(), qt.IsTrue)
-		f = f.WithSent("a", 0, start)
-		c.Assert(f.Availability("a", later).Open(), qt.IsFalse)
-		c.Assert(f.WithSuccess("a", later).Availability("a", later).Open(), qt.IsTrue)
+		later := start.Add(initialSetAside)
+		c.Assert(f.Availability("a", later).IsAvailable(), qt.IsTrue)
+		f = f.WithCallSent("a", 0, start)
+		c.Assert(f.Availability("a", later).IsAvailable(), qt.IsFalse)
+		c.Assert(f.WithSuccess("a", later).Availability("a", later).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("the pause grows and stays bounded", func(t *testing.T) {
@@ -75,8 +75,8 @@
 		for range 10 {
 			f = f.WithFailure("a", FailureSilent, start)
 		}
-		c.Assert(f.Availability("a", start.Add(longestAside-time.Millisecond)).Open(), qt.IsFalse)
-		c.Assert(f.Availability("a", start.Add(longestAside)).Open(), qt.IsTrue)
+		c.Assert(f.Availability("a", start.Add(maxSetAside-time.Millisecond)).IsAvailable(), qt.IsFalse)
+		c.Assert(f.Availability("a", start.Add(maxSetAside)).IsAvailable(), qt.IsTrue)
 	})
 }
 
@@ -95,7 +95,7 @@
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithLoad("a", 3, 2, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
-		expectChosen(c, f, Query{Pool: "p"}, start.Add(reportLife), "a", "b")
+		expectChosen(c, f, Query{Pool: "p"}, start.Add(loadReportLifetime), "a", "b")
 	})
 }
 
@@ -108,7 +108,7 @@
 	t.Run("requests with one prefix meet at one upstream, at every node", func(t *testing.T) {
 		c := qt.New(t)
 		here, _ := fleetOf(all...).Choose(Query{Pool: "p", Affinity: "s7"}, start, 0.1)
-		there, _ := New("z2").WithListed(all, false, start).Choose(Query{Pool: "p", Affinity: "s7"}, start, 0.9)
+		there, _ := New("z2").WithList(all, false, start).Choose(Query{Pool: "p", Affinity: "s7"}, start, 0.9)
 		c.Assert(here.ID, qt.Equals, there.ID)
 	})
 
@@ -119,7 +119,7 @@
 		f := fleetOf(all...)
 		first, _ := f.Choose(Query{Pool: "p", Affinity: "hot"}, start, 0)
 		for range 3 {
-			f = f.WithSent(first.ID, 0, start)
+			f = f.WithCallSent(first.ID, 0, start)
 		}
 		second, _ := f.Choose(Query{Pool: "p", Affinity: "hot"}, start, 0)
 		c.Assert(second.ID, qt.Not(qt.Equals), first.ID)
@@ -129,7 +129,7 @@
 		c := qt.New(t)
 		f := fleetOf(all[:2]...)
 		first, _ := f.Choose(Query{Pool: "p", Affinity: "s"}, start, 0)
-		second, ok := f.Choose(Query{Pool: "p", Affinity: "s", Without: []string{first.ID}}, start, 0)
+		second, ok := f.Choose(Query{Pool: "p", Affinity: "s", Exclude: []string{first.ID}}, start, 0)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(second.ID, qt.Not(qt.Equals), first.ID)
 	})
--- a/internal/chutefleet/limit.go
+++ b/internal/chutefleet/limit.go
@@ -17,35 +17,35 @@
 }
 
 const (
-	// limitSpan is the span over which a limit is dealt out to nodes. A longer one gives more
+	// minLimitSpan is the span over which a limit is dealt out to nodes. A longer one gives more
 	// nodes a part, and lets them send more of it at once.
-	limitSpan = 4 * time.Second
-	// lowestLimit is the rate, a second, that is sent to an upstream that takes less: without
+	minLimitSpan = 4 * time.Second
+	// minLimitRate is the rate, a second, that is sent to an upstream that takes less: without
 	// any answer it could not say that it takes more again.
-	lowestLimit = 0.1
-	// trialPause is how long a node that owns nothing of a limit waits for a word on it before
+	minLimitRate = 0.1
+	// minTrialInterval is how long a node that owns nothing of a limit waits for a word on it before
 	// it sends one call to find out whether it still holds, or longer, so that the trials of
 	// all nodes take no more than trialPart of the limit.
-	trialPause = 30 * time.Second
-	trialPart  = 0.25
+	minTrialInterval = 30 * time.Second
+	trialShare       = 0.25
 )
 
 // limit is a member's limit with how it was heard.
 type limit struct {
 	Limit
 
-	named bool
-	// heardAt is when an answer last named it.
-	heardAt time.Time
+	isSet bool
+	// receivedAt is when an answer last named it.
+	receivedAt time.Time
 	// sent are the calls that this node has sent since it was named, lastAt the last of them.
-	sent   chutequota.Window
-	lastAt time.Time
+	sent       chutequota.Window
+	lastSentAt time.Time
 }
 
-// withSent counts a call on its way to a member that names a limit.
-func (l limit) withSent(now time.Time) limit {
+// withCallSent counts a call on its way to a member that names a limit.
+func (l limit) withCallSent(now time.Time) limit {
 	l.sent = l.sent.With(l.Span, now)
-	l.lastAt = now
+	l.lastSentAt = now
 
 	return l
 }
@@ -54,14 +54,14 @@
 func (f Fleet) Limit(id string) (Limit, bool) {
 	m, ok := f.members.Get(id)
 
-	return m.limit.Limit, ok && m.limit.named
+	return m.limit.Limit, ok && m.limit.isSet
 }
 
-// Limited counts the upstreams that name a limit.
-func (f Fleet) Limited() int {
+// LimitedCount counts the upstreams that name a limit.
+func (f Fleet) LimitedCount() int {
 	n := 0
 	for i := f.members.Iterator(); !i.Done(); {
-		if _, m, _ := i.Next(); m.limit.named {
+		if _, m, _ := i.Next(); m.limit.isSet {
 			n++
 		}
 	}
@@ -69,11 +69,11 @@
 	return n
 }
 
-// WithSharers takes in the nodes among which limits are dealt out: those that may send calls.
-func (f Fleet) WithSharers(sharers chutequota.Owners) Fleet {
-	f.sharers = sharers
-	for _, id := range f.ids() {
-		if m, _ := f.members.Get(id); m.limit.named {
+// WithLimitOwners takes in the nodes among which limits are dealt out: those that may send calls.
+func (f Fleet) WithLimitOwners(owners chutequota.Owners) Fleet {
+	f.limitOwners = owners
+	for _, id := range f.memberIDs() {
+		if m, _ := f.members.Get(id); m.limit.isSet {
 			f.members = f.members.Set(id, f.withQuota(m))
 		}
 	}
@@ -83,10 +83,10 @@
 
 // withQuota works out what this node may send a member that names a limit.
 func (f Fleet) withQuota(m member) member {
-	perSecond := max(lowestLimit, m.limit.PerSecond)
-	m.limit.Span = max(limitSpan, time.Duration(float64(time.Second)/perSecond))
-	whole := math.Min(math.MaxInt32, perSecond*m.limit.Span.Seconds())
-	m.limit.Quota = f.sharers.Quota(m.ID, int(whole))
+	perSecond := max(minLimitRate, m.limit.PerSecond)
+	m.limit.Span = max(minLimitSpan, time.Duration(float64(time.Second)/perSecond))
+	totalCalls := math.Min(math.MaxInt32, perSecond*m.limit.Span.Seconds())
+	m.limit.Quota = f.limitOwners.Quota(m.ID, int(totalCalls))
 
 	return m
 }
@@ -96,11 +96,11 @@
 // Answers overtake each other. A lower limit counts at once, a higher one only if the call
 // was sent after the present one was heard.
 func (f Fleet) WithLimit(id string, perSecond float64, sentAt, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
-		if m.limit.named && perSecond > m.limit.PerSecond && sentAt.Before(m.limit.heardAt) {
+	return f.withMember(id, func(m *member) {
+		if m.limit.isSet && perSecond > m.limit.PerSecond && sentAt.Before(m.limit.receivedAt) {
 			return
 		}
-		m.limit.PerSecond, m.limit.named, m.limit.heardAt = perSecond, true, now
+		m.limit.PerSecond, m.limit.isSet, m.limit.receivedAt = perSecond, true, now
 		*m = f.withQuota(*m)
 	})
 }
@@ -108,54 +108,54 @@
 // WithoutLimit takes in that the answer to a call that was sent at a time names none.
 func (f Fleet) WithoutLimit(id string, sentAt time.Time) Fleet {
 	m, ok := f.members.Get(id)
-	if !ok || !m.limit.named || sentAt.Before(m.limit.heardAt) {
+	if !ok || !m.limit.isSet || sentAt.Before(m.limit.receivedAt) {
 		return f
 	}
 
-	return f.with(id, func(m *member) { m.limit = limit{} })
+	return f.withMember(id, func(m *member) { m.limit = limit{} })
 }
 
 // limitAvailability says whether this node may send a call to a member that names a limit.
 func (f Fleet) limitAvailability(m *member, now time.Time) Availability {
-	next := f.trialAt(m)
+	next := f.nextTrialAt(m)
 	if m.limit.Quota > 0 {
 		next = m.limit.sent.Next(m.limit.Quota, m.limit.Span, now)
 	}
 	if next.After(now) {
-		return Availability{Bar: BarLimited, Until: next}
+		return Availability{Reason: BlockLimited, Until: next}
 	}
 
 	return Availability{}
 }
 
-// OpensAt is when the first of a pool's upstreams may get a call again, if all that are not barred for
+// AvailableAt is when the first of a pool's upstreams may get a call again, if all that are not barred for
 // good name limits and have had what this node may send; false if any may get one now, or is
 // barred otherwise.
-func (f Fleet) OpensAt(pool string, now time.Time) (time.Time, bool) {
-	var first time.Time
+func (f Fleet) AvailableAt(pool string, now time.Time) (time.Time, bool) {
+	var earliest time.Time
 	for _, id := range f.pools[pool] {
 		m, _ := f.members.Get(id)
 		a := f.availability(&m, now)
 		switch {
-		case a.Bar.Lasting():
-		case a.Bar != BarLimited:
+		case a.Reason.RemovesFromPool():
+		case a.Reason != BlockLimited:
 			return time.Time{}, false
-		case first.IsZero() || a.Until.Before(first):
-			first = a.Until
+		case earliest.IsZero() || a.Until.Before(earliest):
+			earliest = a.Until
 		}
 	}
 
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
-// trialAt is when a node that owns nothing of a member's limit may send a call to find out whether
+// nextTrialAt is when a node that owns nothing of a member's limit may send a call to find out whether
 // the limit still holds.
-func (f Fleet) trialAt(m *member) time.Time {
-	perSecond := trialPart * max(lowestLimit, m.limit.PerSecond)
-	pause := max(trialPause, time.Duration(float64(f.sharers.Len())/perSecond*float64(time.Second)))
-	if m.limit.lastAt.After(m.limit.heardAt) {
-		return m.limit.lastAt.Add(pause)
+func (f Fleet) nextTrialAt(m *member) time.Time {
+	perSecond := trialShare * max(minLimitRate, m.limit.PerSecond)
+	interval := max(minTrialInterval, time.Duration(float64(f.limitOwners.Len())/perSecond*float64(time.Second)))
+	if m.limit.lastSentAt.After(m.limit.receivedAt) {
+		return m.limit.lastSentAt.Add(interval)
 	}
 
-	return m.limit.heardAt.Add(pause)
+	return m.limit.receivedAt.Add(interval)
 }
--- a/internal/chutefleet/list.go
+++ b/internal/chutefleet/list.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// WithListed takes in the platform's whole list; with hold set, upstreams that are missing stay.
+// WithList takes in the platform's whole list; with hold set, upstreams that are missing stay.
 //
 // While the platform's store was away, the entries of live upstreams run out
 // and come back a moment after its return. Dropping them at once would empty
 // whole pools for that moment.
-func (f Fleet) WithListed(list []Upstream, hold bool, now time.Time) Fleet {
+func (f Fleet) WithList(list []Upstream, keepMissing bool, now time.Time) Fleet {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
 		var id string
-		f, id = f.withEntry(u, now)
+		f, id = f.withListEntry(u, now)
 		listed[id] = true
 	}
-	if !hold {
-		for _, id := range f.ids() {
+	if !keepMissing {
+		for _, id := range f.memberIDs() {
 			if !listed[id] {
 				f.members = f.members.Delete(id)
 			}
 		}
 	}
 
-	return f.indexed()
+	return f.withIndexes()
 }
 
-// withEntry takes in one entry of the list, and returns the id of the incarnation that it keeps listed.
-func (f Fleet) withEntry(u Upstream, now time.Time) (Fleet, string) {
+// withListEntry takes in one entry of the list, and returns the id of the incarnation that it keeps listed.
+func (f Fleet) withListEntry(u Upstream, now time.Time) (Fleet, string) {
 	id := f.incarnations[u.Name]
 	known, ok := f.members.Get(id)
 	switch {
 	case u.State == StateUnreadable:
 		// It gets no calls, but what is known of it stays: an upstream that was
 		// leaving before its entry became unreadable is leaving after it too.
-		return f.with(id, func(m *member) { m.unreadable = true }), id
+		return f.withMember(id, func(m *member) { m.unreadable = true }), id
 	case ok && u.StartedAt.IsZero():
 		// It does not tell which process it is of. Taken for another one, it would
 		// forget that the present one is leaving.
@@ -49,12 +49,12 @@
 	case ok && u.ID != known.ID:
 		// The process has started again; no evidence on the one before is true of it.
 		f.members = f.members.Delete(known.ID)
-		known = member{before: known.ID}
+		known = member{replacedID: known.ID}
 	}
 	leaving := known.State == StateLeaving
-	coldBefore := known.Cold
+	previousCold := known.Cold
 	known.Upstream, known.unreadable = u, false
-	known = f.withTold(known, coldBefore, now)
+	known = f.withListedCold(known, previousCold, now)
 	if leaving {
 		known.State = StateLeaving
 	}
@@ -63,12 +63,12 @@
 	return f, u.ID
 }
 
-// Replaced lists the incarnations of an earlier view whose names have another incarnation by now.
-func (f Fleet) Replaced(before Fleet) []Upstream {
+// ReplacedSince lists the incarnations of an earlier view whose names have another incarnation by now.
+func (f Fleet) ReplacedSince(earlier Fleet) []Upstream {
 	var replaced []Upstream
-	for i := before.members.Iterator(); !i.Done(); {
+	for i := earlier.members.Iterator(); !i.Done(); {
 		id, m, _ := i.Next()
-		if now, ok := f.incarnations[m.Name]; ok && now != id {
+		if currentID, ok := f.incarnations[m.Name]; ok && currentID != id {
 			replaced = append(replaced, m.Upstream)
 		}
 	}
@@ -77,12 +77,12 @@
 	return replaced
 }
 
-// HasReplaced says whether an incarnation is the one right before a present one of the same name.
-func (f Fleet) HasReplaced(id string) bool {
-	return f.ended[id]
+// IsReplaced says whether an incarnation is the one right before a present one of the same name.
+func (f Fleet) IsReplaced(id string) bool {
+	return f.replacedIDs[id]
 }
 
-func (f Fleet) ids() []string {
+func (f Fleet) memberIDs() []string {
 	ids := make([]string, 0, f.members.Len())
 	for i := f.members.Iterator(); !i.Done(); {
 		id, _, _ := i.Next()
@@ -92,16 +92,16 @@
 	return ids
 }
 
-func (f Fleet) indexed() Fleet {
+func (f Fleet) withIndexes() Fleet {
 	f.pools = map[string][]string{}
 	f.incarnations = map[string]string{}
-	f.ended = map[string]bool{}
+	f.replacedIDs = map[string]bool{}
 	for i := f.members.Iterator(); !i.Done(); {
 		id, m, _ := i.Next()
 		f.pools[m.Pool] = append(f.pools[m.Pool], id)
 		f.incarnations[m.Name] = id
-		if m.before != "" {
-			f.ended[m.before] = true
+		if m.replacedID != "" {
+			f.replacedIDs[m.replacedID] = true
 		}
 	}
 	for _, ids := range f.pools {
--- a/internal/chutefleet/report_test.go
+++ b/internal/chutefleet/report_test.go
@@ -10,7 +10,7 @@
 
 func TestReports(t *testing.T) {
 	now := start
-	many := func(n int) Fleet {
+	fleetOfSize := func(n int) Fleet {
 		var all []Upstream
 		for i := range n {
 			id := fmt.Sprint("u", i)
@@ -22,39 +22,39 @@
 
 	t.Run("an older report does not replace a later one, and one too old counts for nothing", func(t *testing.T) {
 		c := qt.New(t)
-		f := many(2).WithReport(LoadReport{Upstream: "u0", Calls: 5, Age: 100 * time.Millisecond}, now)
-		f = f.WithReport(LoadReport{Upstream: "u0", Calls: 9, Age: 200 * time.Millisecond}, now)
-		f = f.WithReport(LoadReport{Upstream: "u1", Calls: 9, Age: reportLife}, now)
-		w, ok := f.Report("u0", now)
+		f := fleetOfSize(2).WithLoadReport(LoadReport{Upstream: "u0", Calls: 5, Age: 100 * time.Millisecond}, now)
+		f = f.WithLoadReport(LoadReport{Upstream: "u0", Calls: 9, Age: 200 * time.Millisecond}, now)
+		f = f.WithLoadReport(LoadReport{Upstream: "u1", Calls: 9, Age: loadReportLifetime}, now)
+		r, ok := f.LoadReport("u0", now)
 		c.Assert(ok, qt.IsTrue)
-		c.Assert(w, qt.Equals, LoadReport{Upstream: "u0", Calls: 5, Age: 100 * time.Millisecond})
-		_, ok = f.Report("u1", now)
+		c.Assert(r, qt.Equals, LoadReport{Upstream: "u0", Calls: 5, Age: 100 * time.Millisecond})
+		_, ok = f.LoadReport("u1", now)
 		c.Assert(ok, qt.IsFalse)
 	})
 
 	t.Run("a report on an upstream that is not listed is left out", func(t *testing.T) {
 		c := qt.New(t)
-		_, ok := many(1).WithReport(LoadReport{Upstream: "gone", Calls: 5}, now).Report("gone", now)
+		_, ok := fleetOfSize(1).WithLoadReport(LoadReport{Upstream: "gone", Calls: 5}, now).LoadReport("gone", now)
 		c.Assert(ok, qt.IsFalse)
 	})
 
 	t.Run("those that are crowded are told, the most crowded first and not too many", func(t *testing.T) {
 		c := qt.New(t)
-		f := many(200)
+		f := fleetOfSize(200)
 		for i := range 40 {
-			f = f.WithReport(LoadReport{Upstream: fmt.Sprint("u", i), Calls: 20 + i}, now)
+			f = f.WithLoadReport(LoadReport{Upstream: fmt.Sprint("u", i), Calls: 20 + i}, now)
 		}
-		crowded := f.Crowded("p", now)
-		c.Assert(crowded, qt.HasLen, maxReports)
-		c.Assert(crowded[0], qt.Equals, LoadReport{Upstream: "u39", Calls: 59})
+		overloaded := f.OverloadReports("p", now)
+		c.Assert(overloaded, qt.HasLen, maxReports)
+		c.Assert(overloaded[0], qt.Equals, LoadReport{Upstream: "u39", Calls: 59})
 	})
 
 	t.Run("where all have as much to do none is crowded", func(t *testing.T) {
 		c := qt.New(t)
-		f := many(20)
+		f := fleetOfSize(20)
 		for i := range 20 {
-			f = f.WithReport(LoadReport{Upstream: fmt.Sprint("u", i), Calls: 30}, now)
+			f = f.WithLoadReport(LoadReport{Upstream: fmt.Sprint("u", i), Calls: 30}, now)
 		}
-		c.Assert(f.Crowded("p", now), qt.HasLen, 0)
+		c.Assert(f.OverloadReports("p", now), qt.HasLen, 0)
 	})
 }
--- a/internal/chutefleet/restart_test.go
+++ b/internal/chutefleet/restart_test.go
@@ -23,15 +23,15 @@
 		// The upstream said that it leaves, ended, and started again under its name.
 		// Taken for the one before, it would stay out of use for good.
 		c := qt.New(t)
-		f := fleetOf(first).WithLeaving(first.ID).WithListed([]Upstream{second}, false, start)
+		f := fleetOf(first).WithLeaving(first.ID).WithList([]Upstream{second}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, second.ID)
 	})
 
 	t.Run("nothing known of the process before counts against the new one", func(t *testing.T) {
 		c := qt.New(t)
-		f := fleetOf(first).WithSent(first.ID, 100, start).WithFailure(first.ID, FailureSilent, start)
-		f = f.WithListed([]Upstream{second}, false, start)
-		c.Assert(f.Availability(second.ID, start).Open(), qt.IsTrue)
+		f := fleetOf(first).WithCallSent(first.ID, 100, start).WithFailure(first.ID, FailureSilent, start)
+		f = f.WithList([]Upstream{second}, false, start)
+		c.Assert(f.Availability(second.ID, start).IsAvailable(), qt.IsTrue)
 		c.Assert(f.InFlight("p"), qt.Equals, 0)
 	})
 
@@ -39,27 +39,27 @@
 		// A call was under way when the process ended. Its connection breaks after
 		// the list has told of the new process, which has calls of its own by then.
 		c := qt.New(t)
-		f := fleetOf(first).WithSent(first.ID, 0, start).WithListed([]Upstream{second}, false, start).WithSent(second.ID, 0, start)
-		f = f.WithDone(first.ID).WithFailure(first.ID, FailureSilent, start)
+		f := fleetOf(first).WithCallSent(first.ID, 0, start).WithList([]Upstream{second}, false, start).WithCallSent(second.ID, 0, start)
+		f = f.WithCallDone(first.ID).WithFailure(first.ID, FailureSilent, start)
 		c.Assert(f.InFlight("p"), qt.Equals, 1)
-		c.Assert(f.WithDone(second.ID).Availability(second.ID, start).Open(), qt.IsTrue)
+		c.Assert(f.WithCallDone(second.ID).Availability(second.ID, start).IsAvailable(), qt.IsTrue)
 	})
 
 	t.Run("a late word on the process before does not bring it back", func(t *testing.T) {
 		// A peer that is behind, or a list read before the restart, tells of the
 		// earlier start after the later one.
 		c := qt.New(t)
-		f := fleetOf(second).WithListed([]Upstream{first}, false, start)
+		f := fleetOf(second).WithList([]Upstream{first}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, second.ID)
 	})
 
 	t.Run("an entry that does not say when its process started is of the present one", func(t *testing.T) {
 		c := qt.New(t)
-		f := fleetOf(first).WithLeaving(first.ID).WithListed([]Upstream{upstream("a", "z1")}, false, start)
+		f := fleetOf(first).WithLeaving(first.ID).WithList([]Upstream{upstream("a", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start)
 		leaving := upstream("a", "z1")
 		leaving.State = StateLeaving
-		f = fleetOf(first).WithListed([]Upstream{leaving}, false, start)
+		f = fleetOf(first).WithList([]Upstream{leaving}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start)
 		_, ok := f.Get(first.ID)
 		c.Assert(ok, qt.IsTrue)
@@ -68,10 +68,10 @@
 	t.Run("the incarnation that was replaced is told", func(t *testing.T) {
 		c := qt.New(t)
 		before := fleetOf(first, upstream("b", "z1"))
-		after := before.WithListed([]Upstream{second}, false, start)
-		c.Assert(after.Replaced(before), qt.DeepEquals, []Upstream{first})
-		c.Assert(after.HasReplaced(first.ID), qt.IsTrue)
-		c.Assert(after.HasReplaced("b"), qt.IsFalse)
+		after := before.WithList([]Upstream{second}, false, start)
+		c.Assert(after.ReplacedSince(before), qt.DeepEquals, []Upstream{first})
+		c.Assert(after.IsReplaced(first.ID), qt.IsTrue)
+		c.Assert(after.IsReplaced("b"), qt.IsFalse)
 	})
 
 	t.Run("requests with one prefix meet at the same name as before", func(t *testing.T) {
@@ -79,9 +79,9 @@
 		others := []Upstream{upstream("b", "z1"), upstream("c", "z1"), upstream("d", "z1")}
 		for _, prefix := range []string{"s1", "s2", "s3", "s4", "s5", "s6"} {
 			q := Query{Pool: "p", Affinity: prefix}
-			was, _ := fleetOf(append(others, first)...).Choose(q, start, 0)
-			is, _ := fleetOf(append(others, second)...).Choose(q, start, 0)
-			c.Assert(is.Name, qt.Equals, was.Name)
+			before, _ := fleetOf(append(others, first)...).Choose(q, start, 0)
+			after, _ := fleetOf(append(others, second)...).Choose(q, start, 0)
+			c.Assert(after.Name, qt.Equals, before.Name)
 		}
 	})
 }
@@ -92,10 +92,10 @@
 	t.Run("an upstream gets no calls while its entry can't be read", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1"))
-		f = f.WithListed([]Upstream{unreadable, upstream("b", "z1")}, false, start)
+		f = f.WithList([]Upstream{unreadable, upstream("b", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
-		c.Assert(f.Len("p", start), qt.Equals, 1)
-		f = f.WithListed([]Upstream{upstream("a", "z1"), upstream("b", "z1")}, false, start)
+		c.Assert(f.PoolSize("p", start), qt.Equals, 1)
+		f = f.WithList([]Upstream{upstream("a", "z1"), upstream("b", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "a", "b")
 	})
 
@@ -104,7 +104,7 @@
 		// heartbeat of its own puts "ready" back.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1")).WithLeaving("a")
-		f = f.WithListed([]Upstream{unreadable}, false, start).WithListed([]Upstream{upstream("a", "z1")}, false, start)
+		f = f.WithList([]Upstream{unreadable}, false, start).WithList([]Upstream{upstream("a", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start)
 	})
 
--- a/internal/chutefleet/zoneview.go
+++ b/internal/chutefleet/zoneview.go
@@ -18,9 +18,9 @@
 	Unreadable int
 }
 
-// Zones sums a list of upstreams up by zone, with the evacuated zones, sorted by name. An
+// SummarizeZones sums a list of upstreams up by zone, with the evacuated zones, sorted by name. An
 // upstream whose entry can't be read names no zone and counts under the empty one.
-func Zones(list []Upstream, evacuated []string) []ZoneView {
+func SummarizeZones(list []Upstream, evacuated []string) []ZoneView {
 	views := map[string]*ZoneView{}
 	view := func(zone string) *ZoneView {
 		if views[zone] == nil {
--- a/internal/chutefleet/zoneview_test.go
+++ b/internal/chutefleet/zoneview_test.go
@@ -13,7 +13,7 @@
 	cold.Cold = time.Second
 	leaving.State = StateLeaving
 	list := []Upstream{upstream("a", "z1"), cold, leaving, {Name: "d", State: StateUnreadable}}
-	c.Assert(Zones(list, []string{"z3", "z1"}), qt.DeepEquals, []ZoneView{
+	c.Assert(SummarizeZones(list, []string{"z3", "z1"}), qt.DeepEquals, []ZoneView{
 		{Unreadable: 1},
 		{Zone: "z1", Evacuated: true, Upstreams: 2, Cold: 1},
 		{Zone: "z2", Leaving: 1},
--- a/internal/chutegate/metrics.go
+++ b/internal/chutegate/metrics.go
@@ -30,13 +30,13 @@
 	n.meter.Gauge("zones_evacuated", func() float64 { return float64(n.evacuated.Load()) })
 	n.meter.Gauge("upstreams_cold", func() float64 {
 		cold := 0
-		n.Query(func(s chutecore.State) { cold = s.Relay().Fleet().Cold(n.Now()) })
+		n.Query(func(s chutecore.State) { cold = s.Relay().Fleet().ColdCount(n.Now()) })
 
 		return float64(cold)
 	})
 	n.meter.Gauge("upstreams_limited", func() float64 {
 		limited := 0
-		n.Query(func(s chutecore.State) { limited = s.Relay().Fleet().Limited() })
+		n.Query(func(s chutecore.State) { limited = s.Relay().Fleet().LimitedCount() })
 
 		return float64(limited)
 	})
--- a/internal/chutegate/quarantine.go
+++ b/internal/chutegate/quarantine.go
@@ -227,7 +227,7 @@
 	var heard chuterelay.QuarantineHeard
 	var limits chuterelay.LimitsHeard
 	for _, row := range rows {
-		limit, isLimit, err3 := chutefleet.ReadLimitWord(row.Key, row.Value)
+		limit, isLimit, err3 := chutefleet.DecodeLimitRecord(row.Key, row.Value)
 		if isLimit {
 			limits.Words = append(limits.Words, limit)
 		}
--- a/internal/chuterelay/arrive.go
+++ b/internal/chuterelay/arrive.go
@@ -85,7 +85,7 @@
 // choose picks the upstream for the request's call.
 func (st *step) choose(r request) (chutefleet.Upstream, bool) {
 	query := chutefleet.Query{
-		Pool: r.pool, Without: r.tried, Zone: r.resultZone(), Unreachable: st.zones.allCutOff(st.now),
+		Pool: r.pool, Exclude: r.tried, Zone: r.resultZone(), Unreachable: st.zones.allCutOff(st.now),
 	}
 	if r.Pipeline.Affinity {
 		query.Affinity = r.Affinity
@@ -220,7 +220,7 @@
 
 // endAttempt takes the call out of the fleet's count.
 func (st *step) endAttempt(r request) {
-	st.fleet = st.fleet.WithRead(r.current.upstream.ID, r.current.tokens).WithDone(r.current.upstream.ID)
+	st.fleet = st.fleet.WithTokensRead(r.current.upstream.ID, r.current.tokens).WithCallDone(r.current.upstream.ID)
 }
 
 // finish forgets a request and frees all that it holds.
--- a/internal/chuterelay/attempt.go
+++ b/internal/chuterelay/attempt.go
@@ -36,7 +36,7 @@
 	r.sends++
 	r.runs++
 	r.current = attempt{id: st.newID(), upstream: u, tokens: r.PromptTokens, sentAt: st.now}
-	st.fleet = st.fleet.WithSent(u.ID, r.PromptTokens, st.now)
+	st.fleet = st.fleet.WithCallSent(u.ID, r.PromptTokens, st.now)
 	st.put(r)
 	st.note(StepSent, r, func(n *Note) {
 		n.Upstream, n.Peer, n.Zone = u.ID, u.Address, u.Zone
@@ -65,7 +65,7 @@
 	st.noteLoad(r.current.upstream.ID, e.Load)
 	st.noteLimit(r.current.upstream, e.Limit, r.current.sentAt)
 	st.noteHeard(r.current.upstream.Zone)
-	st.fleet = st.fleet.WithRead(r.current.upstream.ID, r.current.tokens).WithSuccess(r.current.upstream.ID, st.now)
+	st.fleet = st.fleet.WithTokensRead(r.current.upstream.ID, r.current.tokens).WithSuccess(r.current.upstream.ID, st.now)
 	r.current.tokens = 0
 	for _, i := range r.Pipeline.Leaves() {
 		if r.stages[i].ask != 0 {
--- a/internal/chuterelay/attempt_test.go
+++ b/internal/chuterelay/attempt_test.go
@@ -101,7 +101,7 @@
 		s := n.sent(plain(1, chuteroute.Repeatable))
 		n.ends(s, EndMisaddressed)
 		n.pass(time.Minute)
-		n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).Open(), qt.IsFalse)
+		n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).IsAvailable(), qt.IsFalse)
 	})
 }
 
@@ -236,11 +236,11 @@
 		for range 5 {
 			n.pass(probe.At.Sub(n.now))
 			n.on(ProbeEnded{Upstream: s.Upstream.ID})
-			n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).Open(), qt.IsFalse)
+			n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).IsAvailable(), qt.IsFalse)
 			probe = only[Probe](n)
 		}
 		n.on(ProbeEnded{Upstream: s.Upstream.ID, Alive: true})
-		n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).Open(), qt.IsTrue)
+		n.Assert(n.state.Fleet().Availability(s.Upstream.ID, n.now).IsAvailable(), qt.IsTrue)
 		expectNo[Probe](n)
 	})
 
--- a/internal/chuterelay/budget.go
+++ b/internal/chuterelay/budget.go
@@ -72,7 +72,7 @@
 // collectorAccount pays for the parts that this node's collector queues again.
 func (s State) collectorAccount(pool string, now time.Time) account {
 	collectors := collectorsAtOnce
-	if s.fleet.Len(pool, now) > shardAbove {
+	if s.fleet.PoolSize(pool, now) > shardAbove {
 		collectors *= s.peers.zones()
 	}
 	part := int(s.settings.Retries.Slack * collectorPart / float64(collectors))
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -74,7 +74,7 @@
 
 // takeJob queues a job at the own collector.
 func (st *step) takeJob(job chutebatch.Job) {
-	if slices.ContainsFunc(job.InputUpstreams, st.fleet.HasReplaced) {
+	if slices.ContainsFunc(job.InputUpstreams, st.fleet.IsReplaced) {
 		// Whoever asks has not heard yet that an upstream has started again. A call
 		// would only find the inputs gone.
 		st.refuseJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartInputGone})
@@ -137,7 +137,7 @@
 		if !ok {
 			continue
 		}
-		st.fleet = st.fleet.WithSent(u.ID, 0, st.now)
+		st.fleet = st.fleet.WithCallSent(u.ID, 0, st.now)
 		st.do(RunCall{Call: call, Upstream: u, Timeout: st.callTimeout(call)})
 	}
 	if st.tickAt.IsZero() && st.collector.WaitingParts(lane) > 0 {
@@ -152,7 +152,7 @@
 // that a zone without healthy upstreams of a pool does not fail its requests.
 func (st *step) seats(lane chutebatch.Lane) []chutebatch.Candidate {
 	var all, own, reached []chutebatch.Candidate
-	for _, u := range st.fleet.UsableIn(lane.Pool, st.now) {
+	for _, u := range st.fleet.AvailableInPool(lane.Pool, st.now) {
 		pace, _ := st.paces.Get(u.ID)
 		seat := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
 		all = append(all, seat)
@@ -235,7 +235,7 @@
 
 // noteCall takes in what a call's end says of its upstream.
 func (st *step) noteCall(call chutebatch.Call, e CallEnded) {
-	st.fleet = st.fleet.WithDone(call.Upstream)
+	st.fleet = st.fleet.WithCallDone(call.Upstream)
 	if u, ok := st.fleet.Get(call.Upstream); ok {
 		st.noteZone(u, e.Silent, e.End == chutebatch.CallAnswered)
 	}
--- a/internal/chuterelay/effect.go
+++ b/internal/chuterelay/effect.go
@@ -192,7 +192,7 @@
 
 // TellLimit tells the other nodes of a change of an upstream's limit.
 type TellLimit struct {
-	Word chutefleet.LimitWord
+	Word chutefleet.LimitRecord
 }
 
 // JudgeAt asks for a JudgeDue event.
--- a/internal/chuterelay/evacuate.go
+++ b/internal/chuterelay/evacuate.go
@@ -52,11 +52,11 @@
 // With a stage's pool gone, the request would wait in a queue that nobody empties until its
 // caller leaves.
 func (st *step) unlisted(r request) string {
-	if st.fleet.Empty(r.pool, st.now) {
+	if st.fleet.IsPoolEmpty(r.pool, st.now) {
 		return r.pool
 	}
 	for i, stage := range r.Pipeline.Stages {
-		if r.parts(i) > 0 && !r.stages[i].done && st.fleet.Empty(stage.Pool, st.now) {
+		if r.parts(i) > 0 && !r.stages[i].done && st.fleet.IsPoolEmpty(stage.Pool, st.now) {
 			return stage.Pool
 		}
 	}
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -209,7 +209,7 @@
 
 // LimitsHeard reports what other nodes tell of upstreams' limits.
 type LimitsHeard struct {
-	Words []chutefleet.LimitWord
+	Words []chutefleet.LimitRecord
 }
 
 // QuarantineHeard reports what other nodes tell of crashes and judgements.
--- a/internal/chuterelay/limit_sim_test.go
+++ b/internal/chuterelay/limit_sim_test.go
@@ -142,7 +142,7 @@
 	for i := range w.nodes {
 		if i != from && !w.silent {
 			w.after(w.between(time.Millisecond, 50*time.Millisecond), func() {
-				w.on(i, LimitsHeard{Words: []chutefleet.LimitWord{e.Word}})
+				w.on(i, LimitsHeard{Words: []chutefleet.LimitRecord{e.Word}})
 			})
 		}
 	}
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -27,7 +27,7 @@
 
 // toldLimit is a word on an upstream's limit and when it was told or heard.
 type toldLimit struct {
-	chutefleet.LimitWord
+	chutefleet.LimitRecord
 
 	at time.Time
 }
@@ -40,7 +40,7 @@
 	before, limited := st.fleet.Limit(u.ID)
 	if limited || limit.Named {
 		// Nodes that have left the list lose their part some time after that.
-		st.fleet = st.fleet.WithSharers(st.peers.sharers(st.now))
+		st.fleet = st.fleet.WithLimitOwners(st.peers.sharers(st.now))
 	}
 	switch {
 	case limit.Named:
@@ -75,22 +75,22 @@
 	if !news || told && st.now.Sub(last.at) < tellLimitEvery {
 		return
 	}
-	word := chutefleet.LimitWord{
+	word := chutefleet.LimitRecord{
 		Upstream: u.ID, Limited: limited, PerSecond: limit.PerSecond, Teller: st.settings.Self.Name, At: st.now.UnixMilli(),
 	}
 	st.rememberLimit(word)
 	st.do(TellLimit{Word: word})
 }
 
-func (st *step) rememberLimit(word chutefleet.LimitWord) {
+func (st *step) rememberLimit(word chutefleet.LimitRecord) {
 	if st.limitsTold.Len() >= maxLimitsTold {
 		st.limitsTold = immutable.NewMap[string, toldLimit](nil)
 	}
-	st.limitsTold = st.limitsTold.Set(word.Upstream, toldLimit{LimitWord: word, at: st.now})
+	st.limitsTold = st.limitsTold.Set(word.Upstream, toldLimit{LimitRecord: word, at: st.now})
 }
 
 // hearLimits takes in what other nodes tell of upstreams' limits.
-func (st *step) hearLimits(words []chutefleet.LimitWord) {
+func (st *step) hearLimits(words []chutefleet.LimitRecord) {
 	for _, word := range words {
 		if word.Teller == st.settings.Self.Name {
 			continue
@@ -101,7 +101,7 @@
 }
 
 // takeLimitWord takes in a word on the limit of an upstream, if that is listed.
-func (st *step) takeLimitWord(word chutefleet.LimitWord) {
+func (st *step) takeLimitWord(word chutefleet.LimitRecord) {
 	u, listed := st.fleet.Get(word.Upstream)
 	if !listed {
 		return
@@ -120,7 +120,7 @@
 	for i := st.limitsTold.Iterator(); !i.Done(); {
 		id, told, _ := i.Next()
 		if _, known := before.Get(id); !known {
-			st.takeLimitWord(told.LimitWord)
+			st.takeLimitWord(told.LimitRecord)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 // limitedAtCall says whether all upstreams of the request's pool will be at their limits, as far as
 // this node may send them calls, when its stages are done: what those made would be for nothing.
 func (st *step) limitedAtCall(r request) bool {
-	opens, limited := st.fleet.OpensAt(r.pool, st.now)
+	opens, limited := st.fleet.AvailableAt(r.pool, st.now)
 	stages := time.Duration(0)
 	for i := range r.stages {
 		if !r.stages[i].done {
@@ -142,8 +142,8 @@
 // noneUsable refuses a request for want of an upstream. Where only limits are in the way, its caller
 // may come back when this node may send the next call; another node may have one left.
 func (st *step) noneUsable(pool string) Refusal {
-	refusal := notRun("no upstream of pool " + pool + " can be used now: " + st.fleet.Barred(pool, st.now))
-	if opens, limited := st.fleet.OpensAt(pool, st.now); limited {
+	refusal := notRun("no upstream of pool " + pool + " can be used now: " + st.fleet.DescribeBlocked(pool, st.now))
+	if opens, limited := st.fleet.AvailableAt(pool, st.now); limited {
 		wait := min(longestLimitWait, max(soonRetry, opens.Sub(st.now)))
 		refusal.RetryAfter = time.Duration((1 - retrySpread + 2*retrySpread*st.draw()) * float64(wait))
 	}
--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -36,14 +36,14 @@
 		c := qt.New(t)
 		other := newNode(t)
 		told.Teller = "n2"
-		other.on(LimitsHeard{Words: []chutefleet.LimitWord{told}})
+		other.on(LimitsHeard{Words: []chutefleet.LimitRecord{told}})
 		limit, limited := other.state.Fleet().Limit(told.Upstream)
 		c.Assert(limited, qt.IsTrue)
 		c.Assert(limit.PerSecond, qt.Equals, 2.0)
 		c.Assert(take[TellLimit](other), qt.HasLen, 0)
 
 		told.Limited = false
-		other.on(LimitsHeard{Words: []chutefleet.LimitWord{told}})
+		other.on(LimitsHeard{Words: []chutefleet.LimitRecord{told}})
 		_, limited = other.state.Fleet().Limit(told.Upstream)
 		c.Assert(limited, qt.IsFalse)
 	})
@@ -53,7 +53,7 @@
 		other := newNode(t)
 		told := told
 		told.Upstream, told.Limited = "late", true
-		other.on(LimitsHeard{Words: []chutefleet.LimitWord{told}})
+		other.on(LimitsHeard{Words: []chutefleet.LimitRecord{told}})
 		list := append(testUpstreams(), chutefleet.Upstream{ID: "late", Name: "late", Pool: plainPool, State: chutefleet.StateReady})
 		other.on(UpstreamsListed{Upstreams: list})
 		_, limited := other.state.Fleet().Limit("late")
@@ -91,7 +91,7 @@
 	n := newNode(t)
 	n.on(ConfigAdopted{Config: testConfig(2)})
 	for i := range 2 {
-		n.on(LimitsHeard{Words: []chutefleet.LimitWord{{
+		n.on(LimitsHeard{Words: []chutefleet.LimitRecord{{
 			Upstream: fmt.Sprint(enginePool, i), Limited: true, PerSecond: 0.25, Teller: "n2",
 		}}})
 	}
--- a/internal/chuterelay/loads.go
+++ b/internal/chuterelay/loads.go
@@ -43,7 +43,7 @@
 func (st *step) tell() []chutefleet.LoadReport {
 	var said []chutefleet.LoadReport
 	for _, id := range st.loads.unsaid {
-		if r, ok := st.fleet.Report(id, st.now); ok {
+		if r, ok := st.fleet.LoadReport(id, st.now); ok {
 			said = append(said, r)
 		}
 	}
@@ -55,7 +55,7 @@
 // hear takes in what another node tells of loads.
 func (st *step) hear(told []chutefleet.LoadReport) {
 	for _, r := range told {
-		st.fleet = st.fleet.WithReport(r, st.now)
+		st.fleet = st.fleet.WithLoadReport(r, st.now)
 	}
 }
 
@@ -67,7 +67,7 @@
 	var crowded []chutefleet.LoadReport
 	for name, pool := range st.config.Pools {
 		if pool.Engine != nil {
-			crowded = append(crowded, st.fleet.Crowded(name, st.now)...)
+			crowded = append(crowded, st.fleet.OverloadReports(name, st.now)...)
 		}
 	}
 	st.loads.crowded, st.loads.crowdedAt = crowded, st.now
--- a/internal/chuterelay/probe.go
+++ b/internal/chuterelay/probe.go
@@ -38,7 +38,7 @@
 	st.probed = st.probed.Delete(e.Upstream)
 	u, _ := st.fleet.Get(e.Upstream)
 	switch {
-	case st.fleet.Availability(e.Upstream, st.now).Bar.Lasting():
+	case st.fleet.Availability(e.Upstream, st.now).Reason.RemovesFromPool():
 	case e.Alive:
 		st.noteHeard(u.Zone)
 		st.fleet = st.fleet.WithSuccess(e.Upstream, st.now)
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -59,7 +59,7 @@
 // it still ran: the entry of one that crashes runs out seconds later.
 func (st *step) crashed(u chutefleet.Upstream, evidence string, suspects ...chutequarantine.Suspect) {
 	known, listed := st.fleet.Get(u.ID)
-	serving := listed && known.State == chutefleet.StateReady || st.fleet.HasReplaced(u.ID)
+	serving := listed && known.State == chutefleet.StateReady || st.fleet.IsReplaced(u.ID)
 	if !serving || len(suspects) == 0 {
 		return
 	}
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -13,8 +13,8 @@
 // listUpstreams takes in the platform's list.
 func (st *step) listUpstreams(e UpstreamsListed) {
 	before := st.fleet
-	st.fleet = st.fleet.WithListed(e.Upstreams, e.Hold, st.now)
-	for _, u := range st.fleet.Replaced(before) {
+	st.fleet = st.fleet.WithList(e.Upstreams, e.Hold, st.now)
+	for _, u := range st.fleet.ReplacedSince(before) {
 		st.restarted(u)
 	}
 	st.recallLimits(before)
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -100,7 +100,7 @@
 
 // shard returns the zone whose upstreams the job is for, or empty for the whole pool.
 func (st *step) shard(job chutebatch.Job) string {
-	if st.fleet.Len(job.Pool, st.now) <= shardAbove || !st.fleet.UsableInZone(job.Pool, job.Zone, st.now) {
+	if st.fleet.PoolSize(job.Pool, st.now) <= shardAbove || !st.fleet.HasAvailableInZone(job.Pool, job.Zone, st.now) {
 		return ""
 	}
 
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -189,7 +189,7 @@
 		st.evacuate(e.Zones)
 	case PeersListed:
 		st.listPeers(e.Peers)
-		st.fleet = st.fleet.WithNodes(st.settings.Self.Name, st.peers.names()).WithSharers(st.peers.sharers(st.now))
+		st.fleet = st.fleet.WithNodes(st.settings.Self.Name, st.peers.names()).WithLimitOwners(st.peers.sharers(st.now))
 	case QuarantineHeard:
 		st.hearQuarantine(e)
 	case LimitsHeard:
--- a/internal/chuterelay/view.go
+++ b/internal/chuterelay/view.go
@@ -14,7 +14,7 @@
 	Draining  bool
 	InFlight  int
 	Requests  []RequestView
-	Upstreams []chutefleet.View
+	Upstreams []chutefleet.UpstreamView
 	Peers     []PeerView
 	Lanes     []LaneView
 	// Evacuated are the zones to whose upstreams nothing is sent.
--- a/internal/chuterelay/warmup.go
+++ b/internal/chuterelay/warmup.go
@@ -17,7 +17,7 @@
 			continue
 		}
 		calls := max(1, int(max(1, s.ColdFactor)*pool.Warmup.CallsPerSecond))
-		bounds[name] = chutefleet.ColdBound{Calls: calls, Time: pool.Warmup.Time}
+		bounds[name] = chutefleet.ColdBound{CallsPerSecond: calls, Duration: pool.Warmup.Time}
 	}
 
 	return bounds
