--- a/internal/chutefleet/availability.go
+++ b/internal/chutefleet/availability.go
@@ -11,47 +11,48 @@
 // BlockReason is why an upstream may not get a call.
 type BlockReason string
 
-// The bars, in the order in which they are looked at; the first one counts.
+// The reasons, in the order in which they are checked; the first that applies is given.
 const (
 	// BlockNone: it may get a call.
 	BlockNone BlockReason = ""
 	// BlockUnlisted: the platform's list has no such incarnation.
 	BlockUnlisted BlockReason = "Unlisted"
-	// BlockLeaving: it takes no new calls, for good.
+	// BlockLeaving: it takes no new calls until its process ends.
 	BlockLeaving BlockReason = "Leaving"
-	// BlockUnreadable: its entry in the list can't be read.
+	// BlockUnreadable: its entry in the list can't be decoded.
 	BlockUnreadable BlockReason = "Unreadable"
 	// BlockEvacuated: the operator has evacuated its zone.
 	BlockEvacuated BlockReason = "Evacuated"
-	// BlockSetAside: it went silent and has a pause.
+	// BlockSetAside: it was silent and gets no calls for some time.
 	BlockSetAside BlockReason = "SetAside"
-	// BlockTrial: its pause is over, and one call is finding out whether it is back.
+	// BlockTrial: the time after its silence is over, and a trial call is in flight.
 	BlockTrial BlockReason = "Tried"
-	// BlockCold: it is cold, and this node has sent it its part of the calls that it bears.
+	// BlockCold: it is cold, and this node has used up its quota of the calls that it
+	// may get while cold.
 	BlockCold BlockReason = "Cold"
-	// BlockLimited: it takes so many requests a second, and this node has sent it its part of them.
+	// BlockLimited: it has a rate limit, and this node has used up its quota of it.
 	BlockLimited BlockReason = "Limited"
 )
 
-// Availability says whether an upstream may get a call.
+// Availability is whether an upstream may get a call, and if not, why and until when.
 type Availability struct {
-	// Reason is BlockNone if it may.
+	// Reason is BlockNone if the upstream may get a call; state dumps name the field Bar.
 	Reason BlockReason `json:"Bar,omitempty"`
-	// Until is when the bar ends by itself; zero if only news can end it.
+	// Until is when the reason ends by itself; zero if only an event can end it.
 	Until time.Time `json:",omitzero"`
 }
 
-// IsAvailable says whether the upstream may get a call.
+// IsAvailable reports whether the upstream may get a call.
 func (a Availability) IsAvailable() bool {
 	return a.Reason == BlockNone
 }
 
-// Availability says whether an upstream may get a call now.
+// Availability returns whether an upstream may get a call now.
 //
-// It is the one place that decides so, for relayed calls, for calls with parts, and for
-// probes. What only makes an upstream the worse choice is not decided here but weighed by
-// Choose: its load, recent failures, a recent refusal for want of room, a zone that is cut
-// off. Which requests may run at all is the quarantine's to say.
+// This is the only place that decides it, for relayed calls, for calls with parts, and
+// for probes. Choose weighs what only makes an upstream a worse choice: its load, recent
+// failures, a recent FailureFull, a zone that is unreachable. The quarantine decides
+// which requests may run at all.
 func (f Fleet) Availability(id string, now time.Time) Availability {
 	m, ok := f.members.Get(id)
 	if !ok {
@@ -72,8 +73,8 @@
 	case now.Before(m.setAsideUntil):
 		return Availability{Reason: BlockSetAside, Until: m.setAsideUntil}
 	case m.silentFailures > 0 && m.inFlight > 0:
-		// A fleet of nodes that all sent their next requests to one that was silent
-		// would lose them all if it is silent still.
+		// Without this, nodes would send all their next requests to an upstream that
+		// was silent, and lose them all if it still is.
 		return Availability{Reason: BlockTrial}
 	}
 	if m.warmup.isCold(now) {
@@ -88,12 +89,14 @@
 	return Availability{}
 }
 
-// RemovesFromPool says that only news ends the bar, so that the upstream is no part of its pool until then.
+// RemovesFromPool reports whether the upstream does not count as part of its pool: the
+// reason ends only by a new list entry or by the operator, never by itself.
 func (r BlockReason) RemovesFromPool() bool {
 	return r == BlockUnlisted || r == BlockLeaving || r == BlockUnreadable || r == BlockEvacuated
 }
 
-// IsPoolEmpty says whether something that only news can end bars all upstreams of a pool.
+// IsPoolEmpty reports whether every upstream of a pool is blocked for a reason that
+// removes it from the pool.
 func (f Fleet) IsPoolEmpty(pool string, now time.Time) bool {
 	for _, id := range f.pools[pool] {
 		if m, _ := f.members.Get(id); !f.availability(&m, now).Reason.RemovesFromPool() {
@@ -104,7 +107,8 @@
 	return true
 }
 
-// PoolSize counts the upstreams of a pool that nothing bars but what passes by itself.
+// PoolSize returns the number of upstreams of a pool without those that are blocked for
+// a reason that removes them from it.
 func (f Fleet) PoolSize(pool string, now time.Time) int {
 	n := 0
 	for _, id := range f.pools[pool] {
@@ -116,7 +120,8 @@
 	return n
 }
 
-// DescribeBlocked tells for a log how many of a pool's upstreams get no call now, and why; empty if all may.
+// DescribeBlocked returns, for a log, how many of a pool's upstreams get no call now, by
+// reason; empty if all may get one.
 func (f Fleet) DescribeBlocked(pool string, now time.Time) string {
 	count := map[BlockReason]int{}
 	for _, id := range f.pools[pool] {
@@ -145,7 +150,8 @@
 	return available
 }
 
-// HasAvailableInZone says whether any of the pool's upstreams in a zone may get a new call now.
+// HasAvailableInZone reports whether any of the pool's upstreams in a zone may get a new
+// call now.
 func (f Fleet) HasAvailableInZone(pool, zone string, now time.Time) bool {
 	for _, id := range f.pools[pool] {
 		if m, _ := f.members.Get(id); m.Zone == zone && f.availability(&m, now).IsAvailable() {
--- a/internal/chutefleet/availability_test.go
+++ b/internal/chutefleet/availability_test.go
@@ -15,14 +15,14 @@
 		fleet Fleet
 		now   time.Time
 		want  Availability
-		// lasting says that the upstream is no part of its pool either.
+		// removesFromPool means that the upstream does not count as part of its pool.
 		removesFromPool bool
 	}{
 		{name: "a listed one", fleet: both, now: start},
 		{name: "one that is not listed", fleet: New("z1"), now: start, want: Availability{Reason: BlockUnlisted}, removesFromPool: true},
 		{name: "a leaving one", fleet: both.WithLeaving("a"), now: start, want: Availability{Reason: BlockLeaving}, removesFromPool: true},
 		{
-			name:  "one whose entry can't be read",
+			name:  "one whose entry can't be decoded",
 			fleet: both.WithList([]Upstream{{Name: "a", State: StateUnreadable}}, true, start), now: start,
 			want: Availability{Reason: BlockUnreadable}, removesFromPool: true,
 		},
@@ -31,32 +31,32 @@
 			want: Availability{Reason: BlockEvacuated}, removesFromPool: true,
 		},
 		{name: "one beside an evacuated zone", fleet: both.WithEvacuated([]string{"z2"}, start), now: start},
-		{name: "one whose zone is taken back", fleet: both.WithEvacuated([]string{"z1"}, start).WithEvacuated(nil, start), now: start},
+		{name: "one whose zone is no longer evacuated", fleet: both.WithEvacuated([]string{"z1"}, start).WithEvacuated(nil, start), now: start},
 		{
-			// A list read before the evacuation must not open the zone again.
+			// A list read before the evacuation must not make the zone available again.
 			name:  "one that is listed anew while its zone is evacuated",
 			fleet: both.WithEvacuated([]string{"z1"}, start).WithList([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start),
 			now:   start, want: Availability{Reason: BlockEvacuated}, removesFromPool: true,
 		},
 		{
-			name: "one that went silent, until its pause is over", fleet: silent, now: start,
+			name: "a silent one, until it is no longer set aside", fleet: silent, now: start,
 			want: Availability{Reason: BlockSetAside, Until: start.Add(initialSetAside)},
 		},
-		{name: "one whose pause is over", fleet: silent, now: start.Add(initialSetAside)},
+		{name: "one that is no longer set aside", fleet: silent, now: start.Add(initialSetAside)},
 		{
-			name: "one that a call is trying", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSetAside),
+			name: "one with a trial call in flight", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSetAside),
 			want: Availability{Reason: BlockTrial},
 		},
 		{
-			name: "a cold one of which this node is no owner, until it is warm", fleet: coldFleet(1, "n1", "n2"), now: start,
+			name: "a cold one without a quota for this node, until it is warm", fleet: coldFleet(1, "n1", "n2"), now: start,
 			want: Availability{Reason: BlockCold, Until: start.Add(time.Second)},
 		},
-		{name: "a cold one of which it is", fleet: coldFleet(2, "n1", "n2"), now: start},
+		{name: "a cold one with a quota for this node", fleet: coldFleet(2, "n1", "n2"), now: start},
 		{
-			name: "one that has got its part, until the next", fleet: coldFleet(2, "n1", "n2").WithCallSent("a", 0, start), now: start,
+			name: "a cold one whose quota is used up, until the next period", fleet: coldFleet(2, "n1", "n2").WithCallSent("a", 0, start), now: start,
 			want: Availability{Reason: BlockCold, Until: start.Add(1200 * time.Millisecond)},
 		},
-		{name: "one that was cold", fleet: coldFleet(1, "n1", "n2"), now: start.Add(time.Second)},
+		{name: "one that is warm again", fleet: coldFleet(1, "n1", "n2"), now: start.Add(time.Second)},
 		{
 			name: "a cold one whose pool has no bound", fleet: coldFleet(1, "n1", "n2").WithColdBounds(nil), now: start,
 		},
@@ -65,7 +65,7 @@
 			want: Availability{Reason: BlockCold, Until: start.Add(time.Second)},
 		},
 		{
-			name: "leaving goes before silence", fleet: silent.WithLeaving("a"), now: start,
+			name: "one that is leaving and silent", fleet: silent.WithLeaving("a"), now: start,
 			want: Availability{Reason: BlockLeaving}, removesFromPool: true,
 		},
 	} {
@@ -81,7 +81,8 @@
 	}
 }
 
-// expectConsistent fails unless all that hand out upstreams go by the same answer.
+// expectConsistent fails the test unless all methods that return upstreams agree whether
+// this one is available.
 func expectConsistent(c *qt.C, f Fleet, id string, now time.Time, wantAvailable bool) {
 	c.Helper()
 	available := false
@@ -94,8 +95,9 @@
 	c.Assert(ok && chosen.ID == id, qt.Equals, wantAvailable)
 }
 
-// coldFleet is that of node "n1" with upstream "a" cold for a second and "b" warm, of which
-// the nodes together may send "a" so many calls a second; with one node only, it knows none.
+// coldFleet returns the fleet of node "n1" with upstream "a" cold for a second and "b" warm;
+// the nodes together may send "a" callsPerSecond. With only one node, the list of nodes is
+// unknown.
 func coldFleet(callsPerSecond int, nodes ...string) Fleet {
 	cold := upstream("a", "z1")
 	cold.Cold = time.Second
@@ -108,7 +110,7 @@
 }
 
 func TestWarmup(t *testing.T) {
-	t.Run("heartbeats that tell of the same spell don't make it longer", func(t *testing.T) {
+	t.Run("a repeated list entry does not make the cold period longer", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(1, "n1", "n2")
 		cold := upstream("a", "z1")
@@ -117,27 +119,27 @@
 		c.Assert(f.Availability("a", start.Add(time.Second)).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("the word that it is warm counts at once", func(t *testing.T) {
+	t.Run("a list entry that says warm applies at once", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(1, "n1", "n2").WithList([]Upstream{upstream("a", "z1"), upstream("b", "z2")}, false, start)
 		c.Assert(f.Availability("a", start).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("a node that is listed later owns its part from then on", func(t *testing.T) {
+	t.Run("a node gets its quota when the list of nodes is known", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(2, "n1")
 		c.Assert(f.Availability("a", start).IsAvailable(), qt.IsFalse)
 		c.Assert(f.WithNodes("n1", []string{"n1", "n2"}).Availability("a", start).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("one that turns cold by its own word counts as cold", func(t *testing.T) {
+	t.Run("an upstream that reports itself as cold is treated as cold", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(2, "n1", "n2").WithCold("b", time.Second, start).WithCallSent("b", 0, start)
 		c.Assert(f.Availability("b", start).Reason, qt.Equals, BlockCold)
 		c.Assert(f.Availability("b", start.Add(time.Second)).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("a zone that is taken back is cold although its entries say nothing yet", func(t *testing.T) {
+	t.Run("a zone whose evacuation ends is cold before its entries say so", func(t *testing.T) {
 		c := qt.New(t)
 		f := coldFleet(1, "n0", "n2").WithNodes("n1", []string{"n0"})
 		f = f.WithEvacuated([]string{"z2"}, start).WithEvacuated(nil, start)
--- a/internal/chutefleet/choose.go
+++ b/internal/chutefleet/choose.go
@@ -9,40 +9,43 @@
 )
 
 const (
-	// affinityFactor and affinitySlots bound the load up to which prompts stay at the
-	// upstream that holds their prefix: 1.5 times the pool's mean, and a tenth of the
-	// upstream's slots besides. Reading a prefix again takes longer than a few more calls
-	// beside a prompt slow it, and in a burst all upstreams have more calls.
+	// affinityFactor and affinitySlotShare set the load up to which prompts go to the
+	// upstream that caches their prefix: 1.5 times the pool's mean plus a tenth of the
+	// upstream's slots. Reading a prefix again takes longer than the delay from a few
+	// more concurrent calls, and in a burst all upstreams have more calls.
 	affinityFactor    = 1.5
 	affinitySlotShare = 0.1
-	// failurePenalty is the load that one recent failure counts for.
+	// failurePenalty is the load, in calls, that one recent failure counts as.
 	failurePenalty = 2.0
-	// remotePenalty is the load that another zone counts for; it breaks ties only.
+	// remotePenalty is the load, in calls, that being in another zone counts as; it is
+	// small enough to only break ties.
 	remotePenalty = 0.2
-	// fullPenalty is the load that a recent refusal for want of room counts for.
+	// fullPenalty is the load, in calls, that a recent FailureFull counts as.
 	fullPenalty = 4.0
 )
 
-// Query asks for an upstream for one call.
+// Query states the criteria by which Choose selects an upstream for a call.
 type Query struct {
 	Pool string
-	// Affinity names what the upstream should have in memory; empty means that any will do.
+	// Affinity identifies the prefix that the upstream should have cached; empty means
+	// no preference.
 	Affinity string
 	// Exclude lists incarnations that must not be chosen.
 	Exclude []string
-	// Zone is preferred where loads are alike; empty means the node's own.
+	// Zone is preferred among upstreams of similar load; empty means the node's own zone.
 	Zone string
-	// Unreachable lists zones that are only chosen from if no other is left.
+	// Unreachable lists zones whose upstreams are chosen only if there are no others.
 	Unreachable []string
 }
 
-// candidate is a usable member with its believed load.
+// candidate is an available member with its estimated load and penalties, in calls.
 type candidate struct {
 	member
 	load float64
 }
 
-// Choose picks the upstream for a call; draw is a number in [0,1) that breaks ties.
+// Choose selects the upstream for a call; false if none is available. tieBreak is a
+// random number in [0,1).
 func (f Fleet) Choose(q Query, now time.Time, tieBreak float64) (Upstream, bool) {
 	candidates := withoutUnreachable(f.candidates(q, now), q.Unreachable)
 	if len(candidates) == 0 {
@@ -57,6 +60,7 @@
 	return f.leastLoaded(candidates, q, tieBreak), true
 }
 
+// candidates returns the members that the query allows and that are available now.
 func (f Fleet) candidates(q Query, now time.Time) []candidate {
 	var out []candidate
 	for _, id := range f.pools[q.Pool] {
@@ -74,7 +78,7 @@
 	return out
 }
 
-// withoutUnreachable leaves out the candidates of unreachable zones, unless there are no others.
+// withoutUnreachable removes the candidates in unreachable zones, unless there are no others.
 func withoutUnreachable(all []candidate, unreachable []string) []candidate {
 	if len(unreachable) == 0 {
 		return all
@@ -92,11 +96,12 @@
 	return reachable
 }
 
-// affinityUpstream returns the first upstream in the affinity's own order that is not overloaded.
+// affinityUpstream returns the upstream that rendezvous hashing selects for the affinity
+// among those that are not overloaded; false if all are.
 //
-// Each node works out the same order from the list alone, so that requests with
-// one prefix meet at one upstream without the nodes talking about it. The bound
-// on load keeps a popular prefix from crushing its holder.
+// Each node computes the same order from the list alone, so requests with one prefix go
+// to one upstream without communication between nodes. The bound on the load keeps a
+// popular prefix from overloading its upstream.
 func affinityUpstream(candidates []candidate, affinity string) (Upstream, bool) {
 	mean := meanLoad(candidates)
 	best := -1
@@ -116,7 +121,7 @@
 	return candidates[best].Upstream, true
 }
 
-// leastLoaded returns the candidate with the least load for its slots.
+// leastLoaded returns the candidate with the lowest load per slot.
 func (f Fleet) leastLoaded(candidates []candidate, q Query, tieBreak float64) Upstream {
 	zone := cmp.Or(q.Zone, f.zone)
 	firstIndex := int(tieBreak * float64(len(candidates)))
--- a/internal/chutefleet/evacuate.go
+++ b/internal/chutefleet/evacuate.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// WithEvacuated takes in which availability zones the operator has evacuated: all of them, by
-// name. The upstreams of those that are taken back count as cold.
+// WithEvacuated replaces the set of evacuated availability zones, given by name. The
+// upstreams of zones that are no longer evacuated are presumed cold.
 func (f Fleet) WithEvacuated(zones []string, now time.Time) Fleet {
 	for zone := range f.evacuated {
 		if !slices.Contains(zones, zone) {
@@ -22,7 +22,7 @@
 	return f
 }
 
-// Evacuated says whether a zone is evacuated.
+// Evacuated reports whether a zone is evacuated.
 func (f Fleet) Evacuated(zone string) bool {
 	return f.evacuated[zone]
 }
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -11,87 +11,88 @@
 	"azurechute.example/azurechute/internal/chutequota"
 )
 
-// State is what the platform's list says of an upstream.
+// State is the state of an upstream in the platform's list.
 type State string
 
 // The states of an upstream.
 const (
 	StateReady   State = "Ready"
 	StateLeaving State = "Leaving"
-	// StateUnreadable: the list has an entry of this name that can't be read.
+	// StateUnreadable: the list has an entry with this name that can't be decoded.
 	StateUnreadable State = "Unreadable"
 )
 
 // Upstream is one incarnation of an upstream as the platform lists it.
 type Upstream struct {
-	// ID names the incarnation; a process that starts again has another.
+	// ID identifies the incarnation; a restarted process has another one.
 	ID string
-	// Name is what the upstream calls itself; one that starts again may keep it.
+	// Name is chosen by the upstream; a restarted process may keep it.
 	Name string
-	// StartedAt is the start of its process by its own clock, zero if it does not
-	// say; it is compared with that of the same name only.
+	// StartedAt is the start time of its process by its own clock, zero if unknown; it
+	// is compared only with that of another incarnation of the same name.
 	StartedAt time.Time
 	Pool      string
 	Address   string
 	Zone      string
 	Version   string
-	// Slots is the number of calls that it runs side by side.
+	// Slots is the number of calls that it runs concurrently.
 	Slots int
 	State State
-	// Cold is how much longer the upstream stays cold, in steps; 0 if it is warm.
+	// Cold is how much longer the upstream stays cold, rounded to steps; 0 if it is warm.
 	Cold time.Duration
 }
 
-// FailureKind says how a call to an upstream failed, as far as routing cares.
+// FailureKind is how a call to an upstream failed, as far as routing distinguishes it.
 type FailureKind string
 
-// The kinds of failure that count against an upstream.
+// The kinds of failure that affect the choice of an upstream.
 const (
-	// FailureSilent: no connection, or no sign of life on one.
+	// FailureSilent: no connection, or nothing received on one.
 	FailureSilent FailureKind = "Silent"
-	// FailureBroken: the connection broke or the answer was not whole.
+	// FailureBroken: the connection broke or the answer was incomplete.
 	FailureBroken FailureKind = "Broken"
-	// FailureErrored: the upstream answered that it failed.
+	// FailureErrored: the upstream answered with an error.
 	FailureErrored FailureKind = "Errored"
-	// FailureFull: the upstream answered that it has no room.
+	// FailureFull: the upstream answered that it has no free capacity.
 	FailureFull FailureKind = "Full"
 )
 
 const (
-	// initialSetAside and longestAside bound how long an upstream that went silent gets
-	// no call: long enough that few callers meet it, short enough that a restart
-	// (2 to 5 s) is noticed within a second of its end.
+	// initialSetAside and maxSetAside are the shortest and the longest time for which a
+	// silent upstream gets no call: long enough that it delays few callers, short enough
+	// that calls resume within a second after a restart, which takes 2 to 5 s.
 	initialSetAside = 500 * time.Millisecond
 	maxSetAside     = 2 * time.Second
-	// failureHalfLife is how fast failures are forgotten; a spell of failing
-	// lasts some seconds.
+	// failureHalfLife is the half-life of the failure count; a period of failures lasts
+	// some seconds.
 	failureHalfLife = 2 * time.Second
-	// negligibleFailures is the evidence that is too little to prefer another upstream.
+	// negligibleFailures is the failure count below which failures are ignored.
 	negligibleFailures = 0.05
-	// loadReportLifetime is how long an upstream's own word on its load counts.
+	// loadReportLifetime is how long a load report is used.
 	loadReportLifetime = time.Second
-	// fullDuration is how long an upstream that refused for want of room counts as full.
+	// fullDuration is how long an upstream that answered FailureFull counts as full.
 	fullDuration = 100 * time.Millisecond
 )
 
-// member is an upstream with this node's evidence on it.
+// member is an upstream with what this node has observed of it.
 type member struct {
 	Upstream
-	// replacedID is the id of the incarnation that this one has replaced; empty if none is known.
+	// replacedID is the id of the incarnation that this one replaced; empty if unknown.
 	replacedID string
-	// unreadable says that its entry in the list can't be read at present.
+	// unreadable means that its entry in the list can't be decoded at present.
 	unreadable bool
 	inFlight   int
-	// unreadTokens are the prompt tokens sent there and not yet read, as far as known.
+	// unreadTokens counts the prompt tokens sent to it that it has not yet read, as far
+	// as known.
 	unreadTokens int64
-	// failures is the decayed count of recent failures, as of failedAt.
+	// failures is the decayed count of recent failures, as of failuresAt.
 	failures   float64
 	failuresAt time.Time
-	// silentFailures counts failures by silence since the last answer.
+	// silentFailures counts the failures of kind FailureSilent since the last answer.
 	silentFailures int
 	setAsideUntil  time.Time
 	fullUntil      time.Time
-	// otherCalls is the load from elsewhere that the upstream's last report implies.
+	// otherCalls is the number of other nodes' calls implied by its last load report.
 	otherCalls int
 	reportedAt time.Time
 	warmup     warmup
@@ -102,20 +103,21 @@
 type Fleet struct {
 	zone    string
 	members *immutable.Map[string, member]
-	// pools lists the ids of each pool, sorted; it is replaced, never changed.
+	// pools lists the ids of each pool, sorted; the map is replaced, never modified.
 	pools map[string][]string
-	// incarnations maps a name to the id of its present incarnation, and ended holds
-	// the ids of those right before them; both are replaced, never changed.
+	// incarnations maps a name to the id of its current incarnation; replacedIDs holds
+	// the ids of the previous ones. Both maps are replaced, never modified.
 	incarnations map[string]string
 	replacedIDs  map[string]bool
-	// evacuated are the zones whose upstreams get nothing; it is replaced, never changed.
+	// evacuated holds the zones whose upstreams get no calls; the map is replaced, never
+	// modified.
 	evacuated map[string]bool
 	bounds    coldBounds
-	// limitOwners are the nodes among which the limits of upstreams are dealt out.
+	// limitOwners are the nodes among which the limits of upstreams are divided.
 	limitOwners chutequota.Owners
 }
 
-// New returns an empty fleet as seen from a zone.
+// New returns an empty fleet for a node in a zone.
 func New(zone string) Fleet {
 	return Fleet{zone: zone, members: immutable.NewMap[string, member](nil), pools: map[string][]string{}}
 }
@@ -132,7 +134,7 @@
 	return f
 }
 
-// WithCallSent counts a call on its way to the upstream.
+// WithCallSent counts a call that is sent to the upstream, with its prompt tokens.
 func (f Fleet) WithCallSent(id string, tokens int64, now time.Time) Fleet {
 	return f.withMember(id, func(m *member) {
 		m.inFlight++
@@ -146,17 +148,18 @@
 	})
 }
 
-// WithTokensRead takes back tokens that the upstream has read by now.
+// WithTokensRead subtracts prompt tokens that the upstream has read.
 func (f Fleet) WithTokensRead(id string, tokens int64) Fleet {
 	return f.withMember(id, func(m *member) { m.unreadTokens = max(0, m.unreadTokens-tokens) })
 }
 
-// WithCallDone ends a call that WithSent began.
+// WithCallDone records the end of a call that WithCallSent counted.
 func (f Fleet) WithCallDone(id string) Fleet {
 	return f.withMember(id, func(m *member) { m.inFlight = max(0, m.inFlight-1) })
 }
 
-// WithSuccess records an answer: whoever answers is not silent.
+// WithSuccess records an answer: it ends the upstream's silence and halves its failure
+// count.
 func (f Fleet) WithSuccess(id string, now time.Time) Fleet {
 	return f.withMember(id, func(m *member) {
 		m.failures = m.recentFailures(now) / 2
@@ -183,12 +186,12 @@
 	})
 }
 
-// WithLeaving marks an incarnation as leaving; that word is never taken back.
+// WithLeaving marks an incarnation as leaving; this is final.
 func (f Fleet) WithLeaving(id string) Fleet {
 	return f.withMember(id, func(m *member) { m.State = StateLeaving })
 }
 
-// WithLoad takes in an upstream's own word on its load.
+// WithLoad records an upstream's own report of its running and waiting calls.
 func (f Fleet) WithLoad(id string, running, waiting int, now time.Time) Fleet {
 	return f.withMember(id, func(m *member) {
 		m.otherCalls = max(0, running+waiting-m.inFlight)
@@ -196,14 +199,14 @@
 	})
 }
 
-// Get returns a listed upstream.
+// Get returns a listed upstream; false if the id is not listed.
 func (f Fleet) Get(id string) (Upstream, bool) {
 	m, ok := f.members.Get(id)
 
 	return m.Upstream, ok
 }
 
-// InFlight counts the calls that this node has under way at the pool.
+// InFlight returns the number of calls that this node has in flight at the pool.
 func (f Fleet) InFlight(pool string) int {
 	n := 0
 	for _, id := range f.pools[pool] {
@@ -214,14 +217,14 @@
 	return n
 }
 
-// UpstreamView is what a state dump shows of one upstream.
+// UpstreamView is the entry of one upstream in a state dump.
 type UpstreamView struct {
 	Upstream
 	InFlight int
 	Failing  float64
-	// Limit is what it says of the requests that it takes; nil if it names none.
+	// Limit is its rate limit; nil if it has none.
 	Limit *Limit `json:",omitempty"`
-	// Availability tells why it gets no calls now; its Bar is empty if it does.
+	// Availability is the reason why it gets no calls now, empty if it does.
 	Availability
 }
 
@@ -246,7 +249,7 @@
 	return views
 }
 
-// recentFailures is the decayed count of recent failures.
+// recentFailures returns the decayed count of recent failures; 0 if it is negligible.
 func (m *member) recentFailures(now time.Time) float64 {
 	if m.failures == 0 {
 		return 0
@@ -260,7 +263,8 @@
 	return decayed
 }
 
-// estimatedLoad is the number of calls believed to be there now.
+// estimatedLoad returns the estimated number of calls at the upstream now: this node's
+// own calls, and other nodes' calls by the last report, weighted by its age.
 func (m *member) estimatedLoad(now time.Time) float64 {
 	age := now.Sub(m.reportedAt)
 	if age >= loadReportLifetime || m.reportedAt.IsZero() {
--- a/internal/chutefleet/fleet_test.go
+++ b/internal/chutefleet/fleet_test.go
@@ -18,7 +18,8 @@
 	return New("z1").WithList(upstreams, false, start)
 }
 
-// expectChosen draws many times and fails unless exactly these upstreams are chosen.
+// expectChosen calls Choose with many tie breaks and fails the test unless exactly these
+// upstreams are chosen.
 func expectChosen(c *qt.C, f Fleet, q Query, now time.Time, want ...string) {
 	c.Helper()
 	got := map[string]bool{}
@@ -35,18 +36,18 @@
 }
 
 func TestLeaving(t *testing.T) {
-	t.Run("a leaving upstream gets no call, also when a stale list says that it is ready", func(t *testing.T) {
-		// The upstream itself told this node that it leaves. The platform's list
-		// comes late and says ready. A call sent on its word would be cut off.
+	t.Run("a leaving upstream gets no call, also if a stale list says that it is ready", func(t *testing.T) {
+		// The upstream has told this node that it leaves. The platform's list arrives
+		// later and is stale. A call sent because of it would be aborted.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithLeaving("a")
 		f = f.WithList([]Upstream{upstream("a", "z1"), upstream("b", "z1")}, false, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
 	})
 
-	t.Run("a missing upstream stays while the list settles, and goes after it", func(t *testing.T) {
-		// The store was away and entries ran out meanwhile. Their upstreams live
-		// and are back in the list within seconds; without them the pool is empty.
+	t.Run("a missing upstream stays with keepMissing, and is removed without", func(t *testing.T) {
+		// The store was unavailable and entries expired meanwhile. Their upstreams are
+		// alive and in the list again within seconds; without them the pool is empty.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"))
 		held := f.WithList(nil, true, start)
@@ -56,9 +57,9 @@
 }
 
 func TestSilence(t *testing.T) {
-	t.Run("a silent upstream is set aside and tried again by one call at a time", func(t *testing.T) {
-		// A connection attempt to "a" got no answer. Calls go to "b" until the pause
-		// is over; then one call tries "a", and others wait for how that ends.
+	t.Run("a silent upstream is set aside, then gets one trial call at a time", func(t *testing.T) {
+		// A connection attempt to "a" got no answer. Calls go to "b" while "a" is set
+		// aside; then "a" gets one trial call, and no other until that succeeds.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithFailure("a", FailureSilent, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
@@ -69,7 +70,7 @@
 		c.Assert(f.WithSuccess("a", later).Availability("a", later).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("the pause grows and stays bounded", func(t *testing.T) {
+	t.Run("the time for which it is set aside grows up to a maximum", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"))
 		for range 10 {
@@ -81,7 +82,7 @@
 }
 
 func TestEvidence(t *testing.T) {
-	t.Run("an upstream that fails among its answers gets fewer calls, and recovers", func(t *testing.T) {
+	t.Run("an upstream with recent failures gets fewer calls, and recovers", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1"))
 		for range 3 {
@@ -91,7 +92,7 @@
 		expectChosen(c, f, Query{Pool: "p"}, start.Add(time.Minute), "a", "b")
 	})
 
-	t.Run("load that others put on an upstream counts while the report is fresh", func(t *testing.T) {
+	t.Run("other nodes' calls count as load while the report is recent", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithLoad("a", 3, 2, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
@@ -105,16 +106,16 @@
 		all = append(all, upstream(fmt.Sprint("u", i), "z1"))
 	}
 
-	t.Run("requests with one prefix meet at one upstream, at every node", func(t *testing.T) {
+	t.Run("all nodes choose the same upstream for a prefix", func(t *testing.T) {
 		c := qt.New(t)
 		here, _ := fleetOf(all...).Choose(Query{Pool: "p", Affinity: "s7"}, start, 0.1)
 		there, _ := New("z2").WithList(all, false, start).Choose(Query{Pool: "p", Affinity: "s7"}, start, 0.9)
 		c.Assert(here.ID, qt.Equals, there.ID)
 	})
 
-	t.Run("an overloaded holder hands over to the next one", func(t *testing.T) {
-		// One session gets much of the traffic. Its upstream would queue for
-		// seconds while the others idle.
+	t.Run("the next upstream is chosen if the first is overloaded", func(t *testing.T) {
+		// One prefix gets much of the traffic. At one upstream its requests would queue
+		// for seconds while the others are idle.
 		c := qt.New(t)
 		f := fleetOf(all...)
 		first, _ := f.Choose(Query{Pool: "p", Affinity: "hot"}, start, 0)
--- a/internal/chutefleet/limit.go
+++ b/internal/chutefleet/limit.go
@@ -7,42 +7,45 @@
 	"azurechute.example/azurechute/internal/chutequota"
 )
 
-// Limit is what an upstream says of the requests that it takes from all nodes together.
+// Limit is the rate limit that an upstream announces for the requests of all nodes together.
 type Limit struct {
-	// PerSecond is the number that it takes in a second.
+	// PerSecond is the number of requests a second.
 	PerSecond float64
-	// Quota is the number of calls that this node may send it in any Span.
+	// Quota is the number of calls that this node may send it in any period of length Span.
 	Quota int
 	Span  time.Duration
 }
 
 const (
-	// minLimitSpan is the span over which a limit is dealt out to nodes. A longer one gives more
-	// nodes a part, and lets them send more of it at once.
+	// minLimitSpan is the shortest period for which a limit is divided into quotas. A
+	// longer period gives more nodes a quota, and lets them send more calls at once.
 	minLimitSpan = 4 * time.Second
-	// minLimitRate is the rate, a second, that is sent to an upstream that takes less: without
-	// any answer it could not say that it takes more again.
+	// minLimitRate is the lowest rate, in calls a second, that is used in place of a limit.
+	// An upstream with a lower limit gets it too: without calls it sends no answers and
+	// could not announce a higher limit.
 	minLimitRate = 0.1
-	// minTrialInterval is how long a node that owns nothing of a limit waits for a word on it before
-	// it sends one call to find out whether it still holds, or longer, so that the trials of
-	// all nodes take no more than trialPart of the limit.
+	// minTrialInterval is how long a node without a quota of a limit waits for news of the
+	// limit before it sends a trial call to check whether it still applies. The interval is
+	// longer if the trial calls of all nodes would exceed the fraction trialShare of the
+	// limit.
 	minTrialInterval = 30 * time.Second
 	trialShare       = 0.25
 )
 
-// limit is a member's limit with how it was heard.
+// limit is a member's limit with the times at which it was received and used.
 type limit struct {
 	Limit
 
 	isSet bool
-	// receivedAt is when an answer last named it.
+	// receivedAt is when an answer last announced it.
 	receivedAt time.Time
-	// sent are the calls that this node has sent since it was named, lastAt the last of them.
+	// sent records the calls that this node has sent since the limit was announced,
+	// lastSentAt is the time of the last one.
 	sent       chutequota.Window
 	lastSentAt time.Time
 }
 
-// withCallSent counts a call on its way to a member that names a limit.
+// withCallSent counts a call that is sent to a member with a limit.
 func (l limit) withCallSent(now time.Time) limit {
 	l.sent = l.sent.With(l.Span, now)
 	l.lastSentAt = now
@@ -50,14 +53,14 @@
 	return l
 }
 
-// Limit returns the limit that an upstream names; false if it names none.
+// Limit returns the limit that an upstream announces; false if it has none.
 func (f Fleet) Limit(id string) (Limit, bool) {
 	m, ok := f.members.Get(id)
 
 	return m.limit.Limit, ok && m.limit.isSet
 }
 
-// LimitedCount counts the upstreams that name a limit.
+// LimitedCount returns the number of upstreams that have a limit.
 func (f Fleet) LimitedCount() int {
 	n := 0
 	for i := f.members.Iterator(); !i.Done(); {
@@ -69,7 +72,8 @@
 	return n
 }
 
-// WithLimitOwners takes in the nodes among which limits are dealt out: those that may send calls.
+// WithLimitOwners replaces the nodes among which limits are divided: those that may send
+// calls.
 func (f Fleet) WithLimitOwners(owners chutequota.Owners) Fleet {
 	f.limitOwners = owners
 	for _, id := range f.memberIDs() {
@@ -81,7 +85,7 @@
 	return f
 }
 
-// withQuota works out what this node may send a member that names a limit.
+// withQuota computes this node's quota of a member's limit.
 func (f Fleet) withQuota(m member) member {
 	perSecond := max(minLimitRate, m.limit.PerSecond)
 	m.limit.Span = max(minLimitSpan, time.Duration(float64(time.Second)/perSecond))
@@ -91,10 +95,10 @@
 	return m
 }
 
-// WithLimit takes in that the answer to a call that was sent at a time names a limit.
+// WithLimit records that the answer to a call sent at sentAt announces a limit.
 //
-// Answers overtake each other. A lower limit counts at once, a higher one only if the call
-// was sent after the present one was heard.
+// Answers may arrive out of order. A lower limit applies at once, a higher one only if the
+// call was sent after the current limit was received.
 func (f Fleet) WithLimit(id string, perSecond float64, sentAt, now time.Time) Fleet {
 	return f.withMember(id, func(m *member) {
 		if m.limit.isSet && perSecond > m.limit.PerSecond && sentAt.Before(m.limit.receivedAt) {
@@ -105,7 +109,8 @@
 	})
 }
 
-// WithoutLimit takes in that the answer to a call that was sent at a time names none.
+// WithoutLimit records that the answer to a call sent at sentAt announces no limit. It
+// removes the limit unless the limit was received after the call was sent.
 func (f Fleet) WithoutLimit(id string, sentAt time.Time) Fleet {
 	m, ok := f.members.Get(id)
 	if !ok || !m.limit.isSet || sentAt.Before(m.limit.receivedAt) {
@@ -115,7 +120,7 @@
 	return f.withMember(id, func(m *member) { m.limit = limit{} })
 }
 
-// limitAvailability says whether this node may send a call to a member that names a limit.
+// limitAvailability returns whether this node may send a call to a member with a limit.
 func (f Fleet) limitAvailability(m *member, now time.Time) Availability {
 	next := f.nextTrialAt(m)
 	if m.limit.Quota > 0 {
@@ -128,9 +133,9 @@
 	return Availability{}
 }
 
-// AvailableAt is when the first of a pool's upstreams may get a call again, if all that are not barred for
-// good name limits and have had what this node may send; false if any may get one now, or is
-// barred otherwise.
+// AvailableAt returns when the first of a pool's upstreams may get a call again, if all
+// upstreams that count as part of the pool are blocked by their limits; false if any is
+// available now, or blocked for another reason.
 func (f Fleet) AvailableAt(pool string, now time.Time) (time.Time, bool) {
 	var earliest time.Time
 	for _, id := range f.pools[pool] {
@@ -148,8 +153,8 @@
 	return earliest, !earliest.IsZero()
 }
 
-// nextTrialAt is when a node that owns nothing of a member's limit may send a call to find out whether
-// the limit still holds.
+// nextTrialAt returns when a node without a quota of a member's limit may send a trial call
+// to check whether the limit still applies.
 func (f Fleet) nextTrialAt(m *member) time.Time {
 	perSecond := trialShare * max(minLimitRate, m.limit.PerSecond)
 	interval := max(minTrialInterval, time.Duration(float64(f.limitOwners.Len())/perSecond*float64(time.Second)))
--- a/internal/chutefleet/limitrecord.go
+++ b/internal/chutefleet/limitrecord.go
@@ -6,27 +6,29 @@
 	"strings"
 )
 
-// limitKeyPrefix begins the keys of words on limits in the store.
+// limitKeyPrefix is the prefix of the keys of limit records in the store.
 const limitKeyPrefix = "limit/"
 
-// LimitRecord is what one node tells the others of an upstream's limit.
+// LimitRecord is a stored row by which one node tells the others of an upstream's limit.
 type LimitRecord struct {
-	// Upstream is the incarnation's id.
+	// Upstream is the id of the incarnation.
 	Upstream string
-	// Limited says that it names a limit, of PerSecond requests a second.
+	// Limited means that it announces a limit, of PerSecond requests a second.
 	Limited   bool
 	PerSecond float64
-	// Teller is the node that tells, At its own time in milliseconds, by which two of its words differ.
+	// Teller is the node that wrote the record, At its own time in milliseconds, which
+	// makes two of its records distinct.
 	Teller string
 	At     int64
 }
 
-// LimitKey returns the key of the word on an upstream's limit.
+// LimitKey returns the key of the limit record of an upstream.
 func LimitKey(upstream string) string {
 	return limitKeyPrefix + upstream
 }
 
-// DecodeLimitRecord decodes the row of a word on a limit; ok is false for other rows.
+// DecodeLimitRecord decodes a row of the store. ok is false if the row is not a limit
+// record or is invalid; for an invalid one the error names the row.
 func DecodeLimitRecord(key string, value []byte) (record LimitRecord, ok bool, err error) {
 	keyUpstream, isLimit := strings.CutPrefix(key, limitKeyPrefix)
 	if !isLimit {
--- a/internal/chutefleet/list.go
+++ b/internal/chutefleet/list.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// WithList takes in the platform's whole list; with hold set, upstreams that are missing stay.
+// WithList applies the platform's complete list; with keepMissing, upstreams that are not
+// in the list stay.
 //
-// While the platform's store was away, the entries of live upstreams run out
-// and come back a moment after its return. Dropping them at once would empty
-// whole pools for that moment.
+// While the platform's store is unavailable, the entries of live upstreams expire, and
+// they are written again shortly after it returns. If the upstreams were removed at once,
+// whole pools would be empty meanwhile.
 func (f Fleet) WithList(list []Upstream, keepMissing bool, now time.Time) Fleet {
 	listed := make(map[string]bool, len(list))
 	for _, u := range list {
@@ -29,25 +30,27 @@
 	return f.withIndexes()
 }
 
-// withListEntry takes in one entry of the list, and returns the id of the incarnation that it keeps listed.
+// withListEntry applies one entry of the list, and returns the id of the incarnation that
+// stays listed by it.
 func (f Fleet) withListEntry(u Upstream, now time.Time) (Fleet, string) {
 	id := f.incarnations[u.Name]
 	known, ok := f.members.Get(id)
 	switch {
 	case u.State == StateUnreadable:
-		// It gets no calls, but what is known of it stays: an upstream that was
-		// leaving before its entry became unreadable is leaving after it too.
+		// It gets no calls, but its member state stays: an upstream that was leaving
+		// before its entry became unreadable is still leaving afterwards.
 		return f.withMember(id, func(m *member) { m.unreadable = true }), id
 	case ok && u.StartedAt.IsZero():
-		// It does not tell which process it is of. Taken for another one, it would
-		// forget that the present one is leaving.
+		// The entry does not name its process, so it applies to the current one. As a
+		// new process, it would lose the information that the current one is leaving.
 		u.ID, u.StartedAt = known.ID, known.StartedAt
 	case ok && u.StartedAt.Before(known.StartedAt):
-		// A late word on a process that has ended: the list was read before it
-		// started again, by this node or by the one that told it.
+		// The entry is stale and of a process that has ended: this node, or the one that
+		// sent the list, read it before the restart.
 		return f, id
 	case ok && u.ID != known.ID:
-		// The process has started again; no evidence on the one before is true of it.
+		// The process has restarted; what was observed of the previous one does not
+		// apply to it.
 		f.members = f.members.Delete(known.ID)
 		known = member{replacedID: known.ID}
 	}
@@ -63,7 +66,8 @@
 	return f, u.ID
 }
 
-// ReplacedSince lists the incarnations of an earlier view whose names have another incarnation by now.
+// ReplacedSince lists the incarnations of an earlier view whose names have another
+// incarnation now, sorted by id.
 func (f Fleet) ReplacedSince(earlier Fleet) []Upstream {
 	var replaced []Upstream
 	for i := earlier.members.Iterator(); !i.Done(); {
@@ -77,11 +81,12 @@
 	return replaced
 }
 
-// IsReplaced says whether an incarnation is the one right before a present one of the same name.
+// IsReplaced reports whether an incarnation is the previous one of a listed upstream.
 func (f Fleet) IsReplaced(id string) bool {
 	return f.replacedIDs[id]
 }
 
+// memberIDs returns the ids of all members, in no particular order.
 func (f Fleet) memberIDs() []string {
 	ids := make([]string, 0, f.members.Len())
 	for i := f.members.Iterator(); !i.Done(); {
@@ -92,6 +97,7 @@
 	return ids
 }
 
+// withIndexes rebuilds pools, incarnations and replacedIDs from the members.
 func (f Fleet) withIndexes() Fleet {
 	f.pools = map[string][]string{}
 	f.incarnations = map[string]string{}
--- a/internal/chutefleet/report.go
+++ b/internal/chutefleet/report.go
@@ -6,25 +6,28 @@
 	"time"
 )
 
-// LoadReport is what one node tells another of an upstream's load.
+// LoadReport is the load of an upstream as one node reports it to another.
 type LoadReport struct {
-	// Upstream is the incarnation's id.
+	// Upstream is the id of the incarnation.
 	Upstream string
-	// Calls is the number that run or wait there, for all callers.
+	// Calls is the number of calls that run or wait there, for all callers.
 	Calls int
-	// Age is how old the upstream's own report is.
+	// Age is the age of the upstream's own report.
 	Age time.Duration
 }
 
-// reportSlotShare is the part of its slots by which an upstream is above the pool's mean load when
-// others are told: below that a prompt is served sooner where it is kept.
+// reportSlotShare is the fraction of its slots by which an upstream's load must exceed
+// affinityFactor times the pool's mean to be reported to other nodes: below that, a
+// prompt is served sooner at the upstream that caches its prefix.
 const reportSlotShare = 0.5
 
-// maxReports bounds the reports in one message: 16 take some 400 bytes. A popular prompt
-// crowds a few upstreams; where more are crowded, the pool is full and none is better.
+// maxReports is the maximum number of reports in a message: 16 take about 400 bytes. A
+// popular prompt overloads a few upstreams; if more are overloaded, the pool is full and
+// no other upstream is better.
 const maxReports = 16
 
-// WithLoadReport takes in another node's report on an upstream, unless a later one is known.
+// WithLoadReport records another node's report on an upstream, unless a later one is known
+// or it is too old.
 func (f Fleet) WithLoadReport(r LoadReport, now time.Time) Fleet {
 	at := now.Add(-r.Age)
 	if m, ok := f.members.Get(r.Upstream); !ok || r.Age >= loadReportLifetime || !m.reportedAt.Before(at) {
@@ -34,7 +37,7 @@
 	return f.WithLoad(r.Upstream, r.Calls, 0, at)
 }
 
-// LoadReport returns what this node knows of an upstream's load, and false if that is nothing recent.
+// LoadReport returns this node's report on an upstream; false if it has no recent one.
 func (f Fleet) LoadReport(id string, now time.Time) (LoadReport, bool) {
 	m, ok := f.members.Get(id)
 	if !ok || m.reportedAt.IsZero() || now.Sub(m.reportedAt) >= loadReportLifetime {
@@ -44,12 +47,12 @@
 	return LoadReport{Upstream: id, Calls: m.otherCalls + m.inFlight, Age: now.Sub(m.reportedAt)}, true
 }
 
-// OverloadReports returns the loads of the upstreams of a pool that have too many calls for prompts
-// to stay there, the most crowded ones first.
+// OverloadReports returns reports on the overloaded upstreams of a pool, to send to other
+// nodes, those with the most calls first; at most maxReports.
 //
-// A node of hundreds hears from one upstream less than once in ten seconds. Without a
-// report from others it sends a popular prompt to the upstream that holds it, however many
-// wait there.
+// With hundreds of nodes, one node gets an answer from one upstream less than once in 10
+// seconds. Without reports from other nodes it sends a popular prompt to the upstream that
+// caches its prefix, regardless of how many calls wait there.
 func (f Fleet) OverloadReports(pool string, now time.Time) []LoadReport {
 	candidates := f.candidates(Query{Pool: pool}, now)
 	mean := meanLoad(candidates)
@@ -69,7 +72,7 @@
 	return reports[:min(len(reports), maxReports)]
 }
 
-// meanLoad is the mean load of the candidates.
+// meanLoad returns the mean load of the candidates, in calls.
 func meanLoad(candidates []candidate) float64 {
 	total := 0.0
 	for i := range candidates {
@@ -79,12 +82,14 @@
 	return total / float64(max(1, len(candidates)))
 }
 
-// isOverloaded says whether a candidate has too many calls for prompts to stay there.
+// isOverloaded reports whether a candidate has too many calls for prompts to follow
+// affinity there.
 func (c *candidate) isOverloaded(mean float64) bool {
 	return c.exceedsMean(mean, affinitySlotShare)
 }
 
-// exceedsMean says whether a candidate's load is well above the mean, by a part of its slots.
+// exceedsMean reports whether a candidate's load exceeds affinityFactor times the mean by
+// more than the given fraction of its slots.
 func (c *candidate) exceedsMean(mean, slotShare float64) bool {
 	return c.load > affinityFactor*mean+slotShare*float64(c.Slots)
 }
--- a/internal/chutefleet/report_test.go
+++ b/internal/chutefleet/report_test.go
@@ -20,7 +20,7 @@
 		return fleetOf(all...)
 	}
 
-	t.Run("an older report does not replace a later one, and one too old counts for nothing", func(t *testing.T) {
+	t.Run("an older report does not replace a later one, and a report that is too old is ignored", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOfSize(2).WithLoadReport(LoadReport{Upstream: "u0", Calls: 5, Age: 100 * time.Millisecond}, now)
 		f = f.WithLoadReport(LoadReport{Upstream: "u0", Calls: 9, Age: 200 * time.Millisecond}, now)
@@ -32,13 +32,13 @@
 		c.Assert(ok, qt.IsFalse)
 	})
 
-	t.Run("a report on an upstream that is not listed is left out", func(t *testing.T) {
+	t.Run("a report on an upstream that is not listed is ignored", func(t *testing.T) {
 		c := qt.New(t)
 		_, ok := fleetOfSize(1).WithLoadReport(LoadReport{Upstream: "gone", Calls: 5}, now).LoadReport("gone", now)
 		c.Assert(ok, qt.IsFalse)
 	})
 
-	t.Run("those that are crowded are told, the most crowded first and not too many", func(t *testing.T) {
+	t.Run("overloaded upstreams are reported, those with the most calls first, up to maxReports", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOfSize(200)
 		for i := range 40 {
@@ -49,7 +49,7 @@
 		c.Assert(overloaded[0], qt.Equals, LoadReport{Upstream: "u39", Calls: 59})
 	})
 
-	t.Run("where all have as much to do none is crowded", func(t *testing.T) {
+	t.Run("no upstream is overloaded if all have the same load", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOfSize(20)
 		for i := range 20 {
--- a/internal/chutefleet/warmup.go
+++ b/internal/chutefleet/warmup.go
@@ -7,48 +7,50 @@
 	"azurechute.example/azurechute/internal/chutequota"
 )
 
-// coldQuotaSpan is a second, and a fifth besides: calls go out somewhat later than they are decided
-// on, each by another time.
+// coldQuotaSpan is the period for which a cold upstream's quota applies. It is a second
+// plus a fifth, because calls are sent somewhat later than they are decided on, with
+// varying delay.
 const coldQuotaSpan = 1200 * time.Millisecond
 
-// ColdBound is what the operator says of a pool's upstreams while they are cold.
+// ColdBound is the operator's setting for a pool's upstreams while they are cold.
 type ColdBound struct {
-	// CallsPerSecond is the number of calls a second that one bears from all nodes together.
+	// CallsPerSecond is the number of calls that one handles from all nodes together.
 	CallsPerSecond int
 	// Duration is how long one stays cold after its start.
 	Duration time.Duration
 }
 
-// coldBounds are the bounds by pool with the owners that deal them out; never changed.
+// coldBounds holds the bounds by pool and the nodes among which they are divided; never
+// modified.
 type coldBounds struct {
 	pools  map[string]ColdBound
 	owners chutequota.Owners
 }
 
-// warmup is what is known of an upstream's being cold.
+// warmup is the state of an upstream's warm-up.
 //
-// An upstream that has just started is empty, so by its load it is the best choice of every
-// node at once, and more calls than it bears while cold end it. Each node works out alone
-// which nodes own its calls while it is cold; to all others a cold upstream is not there.
+// An upstream that has just started has no load, so all nodes would choose it at once, and
+// more calls than it handles while cold crash it. Each node computes by itself which nodes
+// have a quota of its calls while it is cold; all other nodes send it none.
 type warmup struct {
-	// coldUntil is when it is warm, by the platform's list or its own word.
+	// coldUntil is when it is warm, by the platform's list or its own answers.
 	coldUntil time.Time
-	// presumedUntil is the same, for one that is taken for cold without a word on it.
+	// presumedUntil is when it is warm if it is presumed cold without being reported so.
 	presumedUntil time.Time
-	// hasBound says that its pool has a bound, quota how many calls this node may send it in
-	// any second; both are kept up to date only while it is cold.
+	// hasBound means that its pool has a ColdBound; quota is the number of calls that this
+	// node may send it in any second. Both are kept up to date only while it is cold.
 	hasBound bool
 	quota    int
-	// sent are the calls that this node has sent it.
+	// sent records the calls that this node has sent it while cold.
 	sent chutequota.Window
 }
 
-// isCold says whether the upstream is taken for cold.
+// isCold reports whether the upstream is treated as cold.
 func (w *warmup) isCold(now time.Time) bool {
 	return w.hasBound && (now.Before(w.coldUntil) || now.Before(w.presumedUntil))
 }
 
-// availability says whether this node may send a cold upstream a call.
+// availability returns whether this node may send a cold upstream a call.
 func (w *warmup) availability(now time.Time) Availability {
 	if w.quota == 0 {
 		until := w.coldUntil
@@ -65,22 +67,23 @@
 	return Availability{}
 }
 
-// WithColdBounds takes in what pools' upstreams bear while they are cold. The upstreams of a
-// pool that is not named are never taken for cold.
+// WithColdBounds replaces the bounds by pool. Upstreams of a pool without a bound are never
+// treated as cold.
 func (f Fleet) WithColdBounds(pools map[string]ColdBound) Fleet {
 	f.bounds.pools = maps.Clone(pools)
 
 	return f.withQuotas()
 }
 
-// WithNodes takes in the names of all nodes, and which of them is this one.
+// WithNodes replaces the names of all nodes, and of this one, among which the cold bounds
+// are divided.
 func (f Fleet) WithNodes(self string, nodes []string) Fleet {
 	f.bounds.owners = chutequota.NewOwners(self, nodes)
 
 	return f.withQuotas()
 }
 
-// withQuotas works out anew what this node may send to the upstreams that are cold.
+// withQuotas computes this node's quotas of the cold upstreams again.
 func (f Fleet) withQuotas() Fleet {
 	for _, id := range f.memberIDs() {
 		m, _ := f.members.Get(id)
@@ -92,7 +95,7 @@
 	return f
 }
 
-// withWarmup returns the member with a warmup and what this node may send it.
+// withWarmup returns the member with a warm-up state and this node's quota for it.
 func (f Fleet) withWarmup(m member, w warmup) member {
 	bound, hasBound := f.bounds.pools[m.Pool]
 	w.hasBound, w.quota = hasBound, f.bounds.owners.Quota(m.ID, bound.CallsPerSecond)
@@ -101,10 +104,12 @@
 	return m
 }
 
-// withListedCold takes in the list's word on how long a member stays cold, where before was its last one.
+// withListedCold applies how long a member stays cold according to its list entry; previous
+// is the value of the entry before.
 //
-// The word comes in steps and changes seldom, so its time runs from when it was first heard:
-// a node that hears late takes the upstream for cold for longer, never for warm too soon.
+// The value changes in steps, and rarely, so its time runs from when this node first
+// received it: a node that receives it late treats the upstream as cold for longer, never
+// as warm too soon.
 func (f Fleet) withListedCold(m member, previous time.Duration, now time.Time) member {
 	if m.Cold == previous {
 		return m
@@ -118,7 +123,7 @@
 	return f.withWarmup(m, w)
 }
 
-// WithCold takes in an upstream's own word on how long it stays cold.
+// WithCold records how long an upstream stays cold according to itself.
 func (f Fleet) WithCold(id string, remaining time.Duration, now time.Time) Fleet {
 	return f.withMember(id, func(m *member) {
 		w := m.warmup
@@ -127,10 +132,11 @@
 	})
 }
 
-// withPresumedCold takes a zone's upstreams for cold for as long as one is after its start.
+// withPresumedCold treats a zone's upstreams as cold for the Duration of their pool's bound.
 //
-// Those of an evacuated zone are cold when it is taken back, and their entries say so up to a
-// heartbeat later. Until then every node would send to a zone that looks empty.
+// The upstreams of an evacuated zone are cold when the evacuation ends, but their list
+// entries say so up to a heartbeat later. Until then all nodes would send calls to a zone
+// that seems to have no load.
 func (f Fleet) withPresumedCold(zone string, now time.Time) Fleet {
 	for _, id := range f.memberIDs() {
 		m, _ := f.members.Get(id)
@@ -144,7 +150,7 @@
 	return f
 }
 
-// ColdCount counts the upstreams that are taken for cold.
+// ColdCount returns the number of upstreams that are treated as cold.
 func (f Fleet) ColdCount(now time.Time) int {
 	n := 0
 	for i := f.members.Iterator(); !i.Done(); {
--- a/internal/chutefleet/zoneview.go
+++ b/internal/chutefleet/zoneview.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// ZoneView is what the platform's lists say of one zone.
+// ZoneView summarizes the platform's lists for one zone.
 type ZoneView struct {
 	Zone      string
 	Evacuated bool
-	// Upstreams counts those that take calls, Cold those among them that have just
-	// started; Leaving and Unreadable count the rest.
+	// Upstreams counts the upstreams that take calls, Cold those of them that are cold;
+	// Leaving and Unreadable count the others.
 	Upstreams  int
 	Cold       int
 	Leaving    int
 	Unreadable int
 }
 
-// SummarizeZones sums a list of upstreams up by zone, with the evacuated zones, sorted by name. An
-// upstream whose entry can't be read names no zone and counts under the empty one.
+// SummarizeZones counts a list of upstreams by zone and marks the evacuated zones; the
+// result is sorted by zone. An upstream whose entry can't be decoded has no zone and counts
+// under the empty name.
 func SummarizeZones(list []Upstream, evacuated []string) []ZoneView {
 	views := map[string]*ZoneView{}
 	view := func(zone string) *ZoneView {
