--- a/internal/chutebatch/admit.go
+++ b/internal/chutebatch/admit.go
@@ -7,7 +7,8 @@
 const achievableRate = 0.8
 
 // Admits reports whether a job can finish by its admission deadline if it waits for
-// the given time, here and at the stages that follow, before its parts run.
+// the given time, here and at the stages that follow, before its parts run. A job that
+// waits no longer than the time of a full call is always admitted.
 //
 // Under a burst the queue grows until every job is late, and jobs that are refused
 // only then have kept their callers waiting for seconds. Callers that are refused on
--- a/internal/chutebatch/collector.go
+++ b/internal/chutebatch/collector.go
@@ -134,10 +134,9 @@
 	memories *immutable.Map[string, resultMemory]
 	// pausedUntil maps an upstream to the time until which it gets no call.
 	pausedUntil *immutable.Map[string, time.Time]
-	// foreignUsages maps an upstream to the result memory that others use there.
+	// foreignUsages maps an upstream to the memory that other collectors' results take there.
 	foreignUsages *immutable.Map[string, foreignUsage]
-	// delayedSince maps an upstream whose next call is delayed until result memory is
-	// released to the time at which the delay began.
+	// delayedSince maps an upstream to the time since which a small call to it is delayed.
 	delayedSince *immutable.Map[string, time.Time]
 	// demand is the usual demand of the workspaces, by lane.
 	demand     *immutable.Map[Lane, chutefair.Demand]
