--- a/internal/chutefleet/availability.go
+++ b/internal/chutefleet/availability.go
@@ -8,54 +8,55 @@
 	"time"
 )
 
-// Bar is why an upstream may not get a call.
-type Bar string
+// BlockReason is why an upstream may not get a call.
+type BlockReason string
 
-// The bars, in the order in which they are looked at; the first one counts.
+// The reasons, in the order in which they are checked; the first that applies is given.
 const (
-	// BarNone: it may get a call.
-	BarNone Bar = ""
-	// BarUnlisted: the platform's list has no such incarnation.
-	BarUnlisted Bar = "Unlisted"
-	// BarLeaving: it takes no new calls, for good.
-	BarLeaving Bar = "Leaving"
-	// BarUnreadable: its entry in the list can't be read.
-	BarUnreadable Bar = "Unreadable"
-	// BarEvacuated: the operator has evacuated its zone.
-	BarEvacuated Bar = "Evacuated"
-	// BarSetAside: it went silent and has a pause.
-	BarSetAside Bar = "SetAside"
-	// BarTried: its pause is over, and one call is finding out whether it is back.
-	BarTried Bar = "Tried"
-	// BarCold: it is cold, and this node has sent it its part of the calls that it bears.
-	BarCold Bar = "Cold"
-	// BarLimited: it takes so many requests a second, and this node has sent it its part of them.
-	BarLimited Bar = "Limited"
+	// BlockNone: it may get a call.
+	BlockNone BlockReason = ""
+	// BlockUnlisted: the platform's list has no such incarnation.
+	BlockUnlisted BlockReason = "Unlisted"
+	// BlockLeaving: it takes no new calls until its process ends.
+	BlockLeaving BlockReason = "Leaving"
+	// BlockUnreadable: its entry in the list can't be decoded.
+	BlockUnreadable BlockReason = "Unreadable"
+	// BlockEvacuated: the operator has evacuated its zone.
+	BlockEvacuated BlockReason = "Evacuated"
+	// BlockSetAside: it was silent and gets no calls for some time.
+	BlockSetAside BlockReason = "SetAside"
+	// BlockTrial: the time after its silence is over, and a trial call is in flight.
+	BlockTrial BlockReason = "Tried"
+	// BlockCold: it is cold, and this node has used up its quota of the calls that it
+	// may get while cold.
+	BlockCold BlockReason = "Cold"
+	// BlockLimited: it has a rate limit, and this node has used up its quota of it.
+	BlockLimited BlockReason = "Limited"
 )
 
-// Availability says whether an upstream may get a call.
+// Availability is whether an upstream may get a call, and if not, why and until when.
 type Availability struct {
-	// Bar is BarNone if it may.
-	Bar Bar `json:",omitempty"`
-	// Until is when the bar ends by itself; zero if only news can end it.
+	// Reason is BlockNone if the upstream may get a call; state dumps name the field Bar.
+	Reason BlockReason `json:"Bar,omitempty"`
+	// Until is when the reason ends by itself; zero if only an event can end it.
 	Until time.Time `json:",omitzero"`
 }
 
-// Open says whether the upstream may get a call.
-func (a Availability) Open() bool {
-	return a.Bar == BarNone
+// IsAvailable reports whether the upstream may get a call.
+func (a Availability) IsAvailable() bool {
+	return a.Reason == BlockNone
 }
 
-// Availability says whether an upstream may get a call now.
+// Availability returns whether an upstream may get a call now.
 //
-// It is the one place that decides so, for relayed calls, for calls with parts, and for
-// probes. What only makes an upstream the worse choice is not decided here but weighed by
-// Choose: its load, recent failures, a recent refusal for want of room, a zone that is cut
-// off. Which requests may run at all is the quarantine's to say.
+// This is the only place that decides it, for relayed calls, for calls with parts, and
+// for probes. Choose weighs what only makes an upstream a worse choice: its load, recent
+// failures, a recent FailureFull, a zone that is unreachable. The quarantine decides
+// which requests may run at all.
 func (f Fleet) Availability(id string, now time.Time) Availability {
 	m, ok := f.members.Get(id)
 	if !ok {
-		return Availability{Bar: BarUnlisted}
+		return Availability{Reason: BlockUnlisted}
 	}
 
 	return f.availability(&m, now)
@@ -64,39 +65,41 @@
 func (f Fleet) availability(m *member, now time.Time) Availability {
 	switch {
 	case m.State != StateReady:
-		return Availability{Bar: BarLeaving}
+		return Availability{Reason: BlockLeaving}
 	case m.unreadable:
-		return Availability{Bar: BarUnreadable}
+		return Availability{Reason: BlockUnreadable}
 	case f.evacuated[m.Zone]:
-		return Availability{Bar: BarEvacuated}
-	case now.Before(m.asideUntil):
-		return Availability{Bar: BarSetAside, Until: m.asideUntil}
-	case m.silent > 0 && m.inFlight > 0:
-		// A fleet of nodes that all sent their next requests to one that was silent
-		// would lose them all if it is silent still.
-		return Availability{Bar: BarTried}
+		return Availability{Reason: BlockEvacuated}
+	case now.Before(m.setAsideUntil):
+		return Availability{Reason: BlockSetAside, Until: m.setAsideUntil}
+	case m.silentFailures > 0 && m.inFlight > 0:
+		// Without this, nodes would send all their next requests to an upstream that
+		// was silent, and lose them all if it still is.
+		return Availability{Reason: BlockTrial}
 	}
-	if m.warmup.cold(now) {
-		if a := m.warmup.availability(now); !a.Open() {
+	if m.warmup.isCold(now) {
+		if a := m.warmup.availability(now); !a.IsAvailable() {
 			return a
 		}
 	}
-	if m.limit.named {
+	if m.limit.isSet {
 		return f.limitAvailability(m, now)
 	}
 
 	return Availability{}
 }
 
-// Lasting says that only news ends the bar, so that the upstream is no part of its pool until then.
-func (b Bar) Lasting() bool {
-	return b == BarUnlisted || b == BarLeaving || b == BarUnreadable || b == BarEvacuated
+// RemovesFromPool reports whether the upstream does not count as part of its pool: the
+// reason ends only by a new list entry or by the operator, never by itself.
+func (r BlockReason) RemovesFromPool() bool {
+	return r == BlockUnlisted || r == BlockLeaving || r == BlockUnreadable || r == BlockEvacuated
 }
 
-// Empty says whether something that only news can end bars all upstreams of a pool.
-func (f Fleet) Empty(pool string, now time.Time) bool {
+// IsPoolEmpty reports whether every upstream of a pool is blocked for a reason that
+// removes it from the pool.
+func (f Fleet) IsPoolEmpty(pool string, now time.Time) bool {
 	for _, id := range f.pools[pool] {
-		if m, _ := f.members.Get(id); !f.availability(&m, now).Bar.Lasting() {
+		if m, _ := f.members.Get(id); !f.availability(&m, now).Reason.RemovesFromPool() {
 			return false
 		}
 	}
@@ -104,11 +107,12 @@
 	return true
 }
 
-// Len counts the upstreams of a pool that nothing bars but what passes by itself.
-func (f Fleet) Len(pool string, now time.Time) int {
+// PoolSize returns the number of upstreams of a pool without those that are blocked for
+// a reason that removes them from it.
+func (f Fleet) PoolSize(pool string, now time.Time) int {
 	n := 0
 	for _, id := range f.pools[pool] {
-		if m, _ := f.members.Get(id); !f.availability(&m, now).Bar.Lasting() {
+		if m, _ := f.members.Get(id); !f.availability(&m, now).Reason.RemovesFromPool() {
 			n++
 		}
 	}
@@ -116,39 +120,41 @@
 	return n
 }
 
-// Barred tells for a log how many of a pool's upstreams get no call now, and why; empty if all may.
-func (f Fleet) Barred(pool string, now time.Time) string {
-	count := map[Bar]int{}
+// DescribeBlocked returns, for a log, how many of a pool's upstreams get no call now, by
+// reason; empty if all may get one.
+func (f Fleet) DescribeBlocked(pool string, now time.Time) string {
+	count := map[BlockReason]int{}
 	for _, id := range f.pools[pool] {
 		m, _ := f.members.Get(id)
-		if a := f.availability(&m, now); !a.Open() {
-			count[a.Bar]++
+		if a := f.availability(&m, now); !a.IsAvailable() {
+			count[a.Reason]++
 		}
 	}
 	var all []string
-	for _, bar := range slices.Sorted(maps.Keys(count)) {
-		all = append(all, fmt.Sprint(count[bar], " ", bar))
+	for _, reason := range slices.Sorted(maps.Keys(count)) {
+		all = append(all, fmt.Sprint(count[reason], " ", reason))
 	}
 
 	return strings.Join(all, ", ")
 }
 
-// UsableIn returns the upstreams of a pool that may get a new call now, sorted by id.
-func (f Fleet) UsableIn(pool string, now time.Time) []Upstream {
-	var usable []Upstream
+// AvailableInPool returns the upstreams of a pool that may get a new call now, sorted by id.
+func (f Fleet) AvailableInPool(pool string, now time.Time) []Upstream {
+	var available []Upstream
 	for _, id := range f.pools[pool] {
-		if m, _ := f.members.Get(id); f.availability(&m, now).Open() {
-			usable = append(usable, m.Upstream)
+		if m, _ := f.members.Get(id); f.availability(&m, now).IsAvailable() {
+			available = append(available, m.Upstream)
 		}
 	}
 
-	return usable
+	return available
 }
 
-// UsableInZone says whether any of the pool's upstreams in a zone may get a new call now.
-func (f Fleet) UsableInZone(pool, zone string, now time.Time) bool {
+// HasAvailableInZone reports whether any of the pool's upstreams in a zone may get a new
+// call now.
+func (f Fleet) HasAvailableInZone(pool, zone string, now time.Time) bool {
 	for _, id := range f.pools[pool] {
-		if m, _ := f.members.Get(id); m.Zone == zone && f.availability(&m, now).Open() {
+		if m, _ := f.members.Get(id); m.Zone == zone && f.availability(&m, now).IsAvailable() {
 			return true
 		}
 	}
--- a/internal/chutefleet/limit.go
+++ b/internal/chutefleet/limit.go
@@ -7,61 +7,64 @@
 	"azurechute.example/azurechute/internal/chutequota"
 )
 
-// Limit is what an upstream says of the requests that it takes from all nodes together.
+// Limit is the rate limit that an upstream announces for the requests of all nodes together.
 type Limit struct {
-	// PerSecond is the number that it takes in a second.
+	// PerSecond is the number of requests a second.
 	PerSecond float64
-	// Quota is the number of calls that this node may send it in any Span.
+	// Quota is the number of calls that this node may send it in any period of length Span.
 	Quota int
 	Span  time.Duration
 }
 
 const (
-	// limitSpan is the span over which a limit is dealt out to nodes. A longer one gives more
-	// nodes a part, and lets them send more of it at once.
-	limitSpan = 4 * time.Second
-	// lowestLimit is the rate, a second, that is sent to an upstream that takes less: without
-	// any answer it could not say that it takes more again.
-	lowestLimit = 0.1
-	// trialPause is how long a node that owns nothing of a limit waits for a word on it before
-	// it sends one call to find out whether it still holds, or longer, so that the trials of
-	// all nodes take no more than trialPart of the limit.
-	trialPause = 30 * time.Second
-	trialPart  = 0.25
+	// minLimitSpan is the shortest period for which a limit is divided into quotas. A
+	// longer period gives more nodes a quota, and lets them send more calls at once.
+	minLimitSpan = 4 * time.Second
+	// minLimitRate is the lowest rate, in calls a second, that is used in place of a limit.
+	// An upstream with a lower limit gets it too: without calls it sends no answers and
+	// could not announce a higher limit.
+	minLimitRate = 0.1
+	// minTrialInterval is how long a node without a quota of a limit waits for news of the
+	// limit before it sends a trial call to check whether it still applies. The interval is
+	// longer if the trial calls of all nodes would exceed the fraction trialShare of the
+	// limit.
+	minTrialInterval = 30 * time.Second
+	trialShare       = 0.25
 )
 
-// limit is a member's limit with how it was heard.
+// limit is a member's limit with the times at which it was received and used.
 type limit struct {
 	Limit
 
-	named bool
-	// heardAt is when an answer last named it.
-	heardAt time.Time
-	// sent are the calls that this node has sent since it was named, lastAt the last of them.
-	sent   chutequota.Window
-	lastAt time.Time
+	isSet bool
+	// receivedAt is when an answer last announced it.
+	receivedAt time.Time
+	// sent records the calls that this node has sent since the limit was announced,
+	// lastSentAt is the time of the last one.
+	sent       chutequota.Window
+	lastSentAt time.Time
 }
 
-// withSent counts a call on its way to a member that names a limit.
-func (l limit) withSent(now time.Time) limit {
+// withCallSent counts a call that is sent to a member with a limit.
+func (l limit) withCallSent(now time.Time) limit {
 	l.sent = l.sent.With(l.Span, now)
-	l.lastAt = now
+	l.lastSentAt = now
 
 	return l
 }
 
-// Limit returns the limit that an upstream names; false if it names none.
+// Limit returns the limit that an upstream announces; false if it has none.
 func (f Fleet) Limit(id string) (Limit, bool) {
 	m, ok := f.members.Get(id)
 
-	return m.limit.Limit, ok && m.limit.named
+	return m.limit.Limit, ok && m.limit.isSet
 }
 
-// Limited counts the upstreams that name a limit.
-func (f Fleet) Limited() int {
+// LimitedCount returns the number of upstreams that have a limit.
+func (f Fleet) LimitedCount() int {
 	n := 0
 	for i := f.members.Iterator(); !i.Done(); {
-		if _, m, _ := i.Next(); m.limit.named {
+		if _, m, _ := i.Next(); m.limit.isSet {
 			n++
 		}
 	}
@@ -69,11 +72,12 @@
 	return n
 }
 
-// WithSharers takes in the nodes among which limits are dealt out: those that may send calls.
-func (f Fleet) WithSharers(sharers chutequota.Owners) Fleet {
-	f.sharers = sharers
-	for _, id := range f.ids() {
-		if m, _ := f.members.Get(id); m.limit.named {
+// WithLimitOwners replaces the nodes among which limits are divided: those that may send
+// calls.
+func (f Fleet) WithLimitOwners(owners chutequota.Owners) Fleet {
+	f.limitOwners = owners
+	for _, id := range f.memberIDs() {
+		if m, _ := f.members.Get(id); m.limit.isSet {
 			f.members = f.members.Set(id, f.withQuota(m))
 		}
 	}
@@ -81,81 +85,82 @@
 	return f
 }
 
-// withQuota works out what this node may send a member that names a limit.
+// withQuota computes this node's quota of a member's limit.
 func (f Fleet) withQuota(m member) member {
-	perSecond := max(lowestLimit, m.limit.PerSecond)
-	m.limit.Span = max(limitSpan, time.Duration(float64(time.Second)/perSecond))
-	whole := math.Min(math.MaxInt32, perSecond*m.limit.Span.Seconds())
-	m.limit.Quota = f.sharers.Quota(m.ID, int(whole))
+	perSecond := max(minLimitRate, m.limit.PerSecond)
+	m.limit.Span = max(minLimitSpan, time.Duration(float64(time.Second)/perSecond))
+	totalCalls := math.Min(math.MaxInt32, perSecond*m.limit.Span.Seconds())
+	m.limit.Quota = f.limitOwners.Quota(m.ID, int(totalCalls))
 
 	return m
 }
 
-// WithLimit takes in that the answer to a call that was sent at a time names a limit.
+// WithLimit records that the answer to a call sent at sentAt announces a limit.
 //
-// Answers overtake each other. A lower limit counts at once, a higher one only if the call
-// was sent after the present one was heard.
+// Answers may arrive out of order. A lower limit applies at once, a higher one only if the
+// call was sent after the current limit was received.
 func (f Fleet) WithLimit(id string, perSecond float64, sentAt, now time.Time) Fleet {
-	return f.with(id, func(m *member) {
-		if m.limit.named && perSecond > m.limit.PerSecond && sentAt.Before(m.limit.heardAt) {
+	return f.withMember(id, func(m *member) {
+		if m.limit.isSet && perSecond > m.limit.PerSecond && sentAt.Before(m.limit.receivedAt) {
 			return
 		}
-		m.limit.PerSecond, m.limit.named, m.limit.heardAt = perSecond, true, now
+		m.limit.PerSecond, m.limit.isSet, m.limit.receivedAt = perSecond, true, now
 		*m = f.withQuota(*m)
 	})
 }
 
-// WithoutLimit takes in that the answer to a call that was sent at a time names none.
+// WithoutLimit records that the answer to a call sent at sentAt announces no limit. It
+// removes the limit unless the limit was received after the call was sent.
 func (f Fleet) WithoutLimit(id string, sentAt time.Time) Fleet {
 	m, ok := f.members.Get(id)
-	if !ok || !m.limit.named || sentAt.Before(m.limit.heardAt) {
+	if !ok || !m.limit.isSet || sentAt.Before(m.limit.receivedAt) {
 		return f
 	}
 
-	return f.with(id, func(m *member) { m.limit = limit{} })
+	return f.withMember(id, func(m *member) { m.limit = limit{} })
 }
 
-// limitAvailability says whether this node may send a call to a member that names a limit.
+// limitAvailability returns whether this node may send a call to a member with a limit.
 func (f Fleet) limitAvailability(m *member, now time.Time) Availability {
-	next := f.trialAt(m)
+	next := f.nextTrialAt(m)
 	if m.limit.Quota > 0 {
 		next = m.limit.sent.Next(m.limit.Quota, m.limit.Span, now)
 	}
 	if next.After(now) {
-		return Availability{Bar: BarLimited, Until: next}
+		return Availability{Reason: BlockLimited, Until: next}
 	}
 
 	return Availability{}
 }
 
-// OpensAt is when the first of a pool's upstreams may get a call again, if all that are not barred for
-// good name limits and have had what this node may send; false if any may get one now, or is
-// barred otherwise.
-func (f Fleet) OpensAt(pool string, now time.Time) (time.Time, bool) {
-	var first time.Time
+// AvailableAt returns when the first of a pool's upstreams may get a call again, if all
+// upstreams that count as part of the pool are blocked by their limits; false if any is
+// available now, or blocked for another reason.
+func (f Fleet) AvailableAt(pool string, now time.Time) (time.Time, bool) {
+	var earliest time.Time
 	for _, id := range f.pools[pool] {
 		m, _ := f.members.Get(id)
 		a := f.availability(&m, now)
 		switch {
-		case a.Bar.Lasting():
-		case a.Bar != BarLimited:
+		case a.Reason.RemovesFromPool():
+		case a.Reason != BlockLimited:
 			return time.Time{}, false
-		case first.IsZero() || a.Until.Before(first):
-			first = a.Until
+		case earliest.IsZero() || a.Until.Before(earliest):
+			earliest = a.Until
 		}
 	}
 
-	return first, !first.IsZero()
+	return earliest, !earliest.IsZero()
 }
 
-// trialAt is when a node that owns nothing of a member's limit may send a call to find out whether
-// the limit still holds.
-func (f Fleet) trialAt(m *member) time.Time {
-	perSecond := trialPart * max(lowestLimit, m.limit.PerSecond)
-	pause := max(trialPause, time.Duration(float64(f.sharers.Len())/perSecond*float64(time.Second)))
-	if m.limit.lastAt.After(m.limit.heardAt) {
-		return m.limit.lastAt.Add(pause)
+// nextTrialAt returns when a node without a quota of a member's limit may send a trial call
+// to check whether the limit still applies.
+func (f Fleet) nextTrialAt(m *member) time.Time {
+	perSecond := trialShare * max(minLimitRate, m.limit.PerSecond)
+	interval := max(minTrialInterval, time.Duration(float64(f.limitOwners.Len())/perSecond*float64(time.Second)))
+	if m.limit.lastSentAt.After(m.limit.receivedAt) {
+		return m.limit.lastSentAt.Add(interval)
 	}
 
-	return m.limit.heardAt.Add(pause)
+	return m.limit.receivedAt.Add(interval)
 }
--- /dev/null
+++ b/internal/chutefleet/limitrecord.go
@@ -0,0 +1,45 @@
+package chutefleet
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+)
+
+// limitKeyPrefix is the prefix of the keys of limit records in the store.
+const limitKeyPrefix = "limit/"
+
+// LimitRecord is a stored row by which one node tells the others of an upstream's limit.
+type LimitRecord struct {
+	// Upstream is the id of the incarnation.
+	Upstream string
+	// Limited means that it announces a limit, of PerSecond requests a second.
+	Limited   bool
+	PerSecond float64
+	// Teller is the node that wrote the record, At its own time in milliseconds, which
+	// makes two of its records distinct.
+	Teller string
+	At     int64
+}
+
+// LimitKey returns the key of the limit record of an upstream.
+func LimitKey(upstream string) string {
+	return limitKeyPrefix + upstream
+}
+
+// DecodeLimitRecord decodes a row of the store. ok is false if the row is not a limit
+// record or is invalid; for an invalid one the error names the row.
+func DecodeLimitRecord(key string, value []byte) (record LimitRecord, ok bool, err error) {
+	keyUpstream, isLimit := strings.CutPrefix(key, limitKeyPrefix)
+	if !isLimit {
+		return LimitRecord{}, false, nil
+	}
+	if err = json.Unmarshal(value, &record); err == nil && record.Upstream != keyUpstream {
+		err = fmt.Errorf("row %s: Upstream is %q", key, record.Upstream)
+	}
+	if err == nil && (record.PerSecond < 0 || record.Teller == "") {
+		err = fmt.Errorf("row %s: PerSecond is %v, Teller %q", key, record.PerSecond, record.Teller)
+	}
+
+	return record, err == nil, err
+}
--- a/internal/chutegate/quarantine.go
+++ b/internal/chutegate/quarantine.go
@@ -231,7 +231,7 @@
 	var reports chuterelay.QuarantineAnnounced
 	var limits chuterelay.LimitsAnnounced
 	for _, row := range rows {
-		limit, isLimit, limitErr := chutefleet.ReadLimitWord(row.Key, row.Value)
+		limit, isLimit, limitErr := chutefleet.DecodeLimitRecord(row.Key, row.Value)
 		if isLimit {
 			limits.Limits = append(limits.Limits, limit)
 		}
--- a/internal/chuterelay/arrive.go
+++ b/internal/chuterelay/arrive.go
@@ -85,7 +85,7 @@
 // chooseUpstream picks the upstream for the request's call.
 func (st *reduction) chooseUpstream(r request) (chutefleet.Upstream, bool) {
 	query := chutefleet.Query{
-		Pool: r.pool, Without: r.triedUpstreams, Zone: r.resultZone(), Unreachable: st.zoneSilence.allCutOff(st.now),
+		Pool: r.pool, Exclude: r.triedUpstreams, Zone: r.resultZone(), Unreachable: st.zoneSilence.allCutOff(st.now),
 	}
 	if r.Pipeline.Affinity {
 		query.Affinity = r.Affinity
@@ -222,7 +222,7 @@
 
 // uncountAttempt removes the current call from the fleet's counts of calls and prompt tokens.
 func (st *reduction) uncountAttempt(r request) {
-	st.fleet = st.fleet.WithRead(r.current.upstream.ID, r.current.tokens).WithDone(r.current.upstream.ID)
+	st.fleet = st.fleet.WithTokensRead(r.current.upstream.ID, r.current.tokens).WithCallDone(r.current.upstream.ID)
 }
 
 // finish removes a request and frees all that it holds.
--- a/internal/chuterelay/attempt.go
+++ b/internal/chuterelay/attempt.go
@@ -37,7 +37,7 @@
 	r.sends++
 	r.possibleRuns++
 	r.current = attempt{id: st.newID(), upstream: u, tokens: r.PromptTokens, sentAt: st.now}
-	st.fleet = st.fleet.WithSent(u.ID, r.PromptTokens, st.now)
+	st.fleet = st.fleet.WithCallSent(u.ID, r.PromptTokens, st.now)
 	st.putRequest(r)
 	st.logStep(StepSent, r, func(n *LogStep) {
 		n.Upstream, n.Peer, n.Zone = u.ID, u.Address, u.Zone
@@ -67,7 +67,7 @@
 	st.recordLoad(r.current.upstream.ID, e.Load)
 	st.recordLimit(r.current.upstream, e.Limit, r.current.sentAt)
 	st.recordReply(r.current.upstream.Zone)
-	st.fleet = st.fleet.WithRead(r.current.upstream.ID, r.current.tokens).WithSuccess(r.current.upstream.ID, st.now)
+	st.fleet = st.fleet.WithTokensRead(r.current.upstream.ID, r.current.tokens).WithSuccess(r.current.upstream.ID, st.now)
 	r.current.tokens = 0
 	for _, i := range r.Pipeline.Leaves() {
 		if r.stages[i].jobRequestID != 0 {
--- a/internal/chuterelay/budget.go
+++ b/internal/chuterelay/budget.go
@@ -73,7 +73,7 @@
 // collectorAccount returns the account for parts that this node's collector queues again.
 func (s State) collectorAccount(pool string, now time.Time) account {
 	collectors := maxCollectorsPerShard
-	if s.fleet.Len(pool, now) > maxUnshardedUpstreams {
+	if s.fleet.PoolSize(pool, now) > maxUnshardedUpstreams {
 		collectors *= s.peers.zoneCount()
 	}
 	share := int(s.settings.Retries.Slack * collectorSlackShare / float64(collectors))
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -76,7 +76,7 @@
 
 // queueJob adds a job to this node's collector, or rejects it.
 func (st *reduction) queueJob(job chutebatch.Job) {
-	if slices.ContainsFunc(job.InputUpstreams, st.fleet.HasReplaced) {
+	if slices.ContainsFunc(job.InputUpstreams, st.fleet.IsReplaced) {
 		// The requesting node does not know yet that an upstream has restarted. A call would only
 		// find the inputs gone.
 		st.rejectJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartInputGone})
@@ -139,7 +139,7 @@
 		if !ok {
 			continue
 		}
-		st.fleet = st.fleet.WithSent(u.ID, 0, st.now)
+		st.fleet = st.fleet.WithCallSent(u.ID, 0, st.now)
 		st.emit(RunCall{Call: call, Upstream: u, Timeout: st.callTimeout(call)})
 	}
 	if st.tickAt.IsZero() && st.collector.WaitingParts(lane) > 0 {
@@ -154,7 +154,7 @@
 // zone without healthy upstreams of a pool does not fail its requests.
 func (st *reduction) laneSeats(lane chutebatch.Lane) []chutebatch.Candidate {
 	var all, inShard, reachable []chutebatch.Candidate
-	for _, u := range st.fleet.UsableIn(lane.Pool, st.now) {
+	for _, u := range st.fleet.AvailableInPool(lane.Pool, st.now) {
 		pace, _ := st.upstreamPaces.Get(u.ID)
 		seat := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
 		all = append(all, seat)
@@ -239,7 +239,7 @@
 
 // recordCallEnd updates the state of an upstream from the end of a call with parts.
 func (st *reduction) recordCallEnd(call chutebatch.Call, e CallEnded) {
-	st.fleet = st.fleet.WithDone(call.Upstream)
+	st.fleet = st.fleet.WithCallDone(call.Upstream)
 	if u, ok := st.fleet.Get(call.Upstream); ok {
 		st.recordZoneReply(u, e.Silent, e.End == chutebatch.CallAnswered)
 	}
--- a/internal/chuterelay/effect.go
+++ b/internal/chuterelay/effect.go
@@ -195,7 +195,7 @@
 
 // AnnounceLimit tells the other nodes of a change of an upstream's limit.
 type AnnounceLimit struct {
-	Limit chutefleet.LimitWord
+	Limit chutefleet.LimitRecord
 }
 
 // JudgeAt schedules a JudgeDue event.
--- a/internal/chuterelay/evacuate.go
+++ b/internal/chuterelay/evacuate.go
@@ -54,11 +54,11 @@
 // With no upstream in a stage's pool, the request would wait in a queue that is never served until
 // its caller leaves.
 func (st *reduction) poolWithoutUpstreams(r request) string {
-	if st.fleet.Empty(r.pool, st.now) {
+	if st.fleet.IsPoolEmpty(r.pool, st.now) {
 		return r.pool
 	}
 	for i, stage := range r.Pipeline.Stages {
-		if r.parts(i) > 0 && !r.stages[i].done && st.fleet.Empty(stage.Pool, st.now) {
+		if r.parts(i) > 0 && !r.stages[i].done && st.fleet.IsPoolEmpty(stage.Pool, st.now) {
 			return stage.Pool
 		}
 	}
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -215,7 +215,7 @@
 
 // LimitsAnnounced reports the limits of upstreams that other nodes have announced.
 type LimitsAnnounced struct {
-	Limits []chutefleet.LimitWord
+	Limits []chutefleet.LimitRecord
 }
 
 // QuarantineAnnounced reports the crashes and judgements that other nodes have announced.
--- a/internal/chuterelay/limit_sim_test.go
+++ b/internal/chuterelay/limit_sim_test.go
@@ -142,7 +142,7 @@
 	for i := range w.nodes {
 		if i != from && !w.silent {
 			w.after(w.between(time.Millisecond, 50*time.Millisecond), func() {
-				w.on(i, LimitsAnnounced{Limits: []chutefleet.LimitWord{e.Limit}})
+				w.on(i, LimitsAnnounced{Limits: []chutefleet.LimitRecord{e.Limit}})
 			})
 		}
 	}
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -28,7 +28,7 @@
 
 // announcedLimit is an announced limit of an upstream and when it was sent or received.
 type announcedLimit struct {
-	chutefleet.LimitWord
+	chutefleet.LimitRecord
 
 	at time.Time
 }
@@ -42,7 +42,7 @@
 	if limited || limit.Named {
 		// Nodes that have left the list lose their share some time later, so the sharers are
 		// updated here.
-		st.fleet = st.fleet.WithSharers(st.peers.sharers(st.now))
+		st.fleet = st.fleet.WithLimitOwners(st.peers.sharers(st.now))
 	}
 	switch {
 	case limit.Named:
@@ -78,22 +78,22 @@
 	if !changed || announced && st.now.Sub(last.at) < limitAnnounceInterval {
 		return
 	}
-	announcement := chutefleet.LimitWord{
+	announcement := chutefleet.LimitRecord{
 		Upstream: u.ID, Limited: limited, PerSecond: limit.PerSecond, Teller: st.settings.Self.Name, At: st.now.UnixMilli(),
 	}
 	st.rememberAnnouncedLimit(announcement)
 	st.emit(AnnounceLimit{Limit: announcement})
 }
 
-func (st *reduction) rememberAnnouncedLimit(limit chutefleet.LimitWord) {
+func (st *reduction) rememberAnnouncedLimit(limit chutefleet.LimitRecord) {
 	if st.announcedLimits.Len() >= maxAnnouncedLimits {
 		st.announcedLimits = immutable.NewMap[string, announcedLimit](nil)
 	}
-	st.announcedLimits = st.announcedLimits.Set(limit.Upstream, announcedLimit{LimitWord: limit, at: st.now})
+	st.announcedLimits = st.announcedLimits.Set(limit.Upstream, announcedLimit{LimitRecord: limit, at: st.now})
 }
 
 // limitsAnnounced applies the limits that other nodes have announced.
-func (st *reduction) limitsAnnounced(limits []chutefleet.LimitWord) {
+func (st *reduction) limitsAnnounced(limits []chutefleet.LimitRecord) {
 	for _, limit := range limits {
 		if limit.Teller == st.settings.Self.Name {
 			continue
@@ -104,7 +104,7 @@
 }
 
 // applyAnnouncedLimit applies an announced limit, if its upstream is listed.
-func (st *reduction) applyAnnouncedLimit(limit chutefleet.LimitWord) {
+func (st *reduction) applyAnnouncedLimit(limit chutefleet.LimitRecord) {
 	u, listed := st.fleet.Get(limit.Upstream)
 	if !listed {
 		return
@@ -124,7 +124,7 @@
 	for i := st.announcedLimits.Iterator(); !i.Done(); {
 		id, announced, _ := i.Next()
 		if _, known := before.Get(id); !known {
-			st.applyAnnouncedLimit(announced.LimitWord)
+			st.applyAnnouncedLimit(announced.LimitRecord)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 // node's share of their limits when the request's stages are done. The stages would then run for
 // nothing.
 func (st *reduction) limitedWhenStagesDone(r request) bool {
-	availableAt, limited := st.fleet.OpensAt(r.pool, st.now)
+	availableAt, limited := st.fleet.AvailableAt(r.pool, st.now)
 	stagesTime := time.Duration(0)
 	for i := range r.stages {
 		if !r.stages[i].done {
@@ -148,8 +148,8 @@
 // only reason, the caller may retry when this node may send the next call; another node may have
 // calls left.
 func (st *reduction) noUsableUpstreamRefusal(pool string) Refusal {
-	refusal := notRunRefusal("no upstream of pool " + pool + " can be used now: " + st.fleet.Barred(pool, st.now))
-	if availableAt, limited := st.fleet.OpensAt(pool, st.now); limited {
+	refusal := notRunRefusal("no upstream of pool " + pool + " can be used now: " + st.fleet.DescribeBlocked(pool, st.now))
+	if availableAt, limited := st.fleet.AvailableAt(pool, st.now); limited {
 		wait := min(maxLimitRetryAfter, max(defaultRetryAfter, availableAt.Sub(st.now)))
 		refusal.RetryAfter = time.Duration((1 - retryAfterSpread + 2*retryAfterSpread*st.randomFraction()) * float64(wait))
 	}
--- a/internal/chuterelay/loads.go
+++ b/internal/chuterelay/loads.go
@@ -43,7 +43,7 @@
 func (st *reduction) takePendingLoads() []chutefleet.LoadReport {
 	var reports []chutefleet.LoadReport
 	for _, id := range st.loadReports.pending {
-		if r, ok := st.fleet.Report(id, st.now); ok {
+		if r, ok := st.fleet.LoadReport(id, st.now); ok {
 			reports = append(reports, r)
 		}
 	}
@@ -55,7 +55,7 @@
 // applyLoads applies the loads that another node has sent.
 func (st *reduction) applyLoads(reports []chutefleet.LoadReport) {
 	for _, r := range reports {
-		st.fleet = st.fleet.WithReport(r, st.now)
+		st.fleet = st.fleet.WithLoadReport(r, st.now)
 	}
 }
 
@@ -68,7 +68,7 @@
 	var crowded []chutefleet.LoadReport
 	for name, pool := range st.config.Pools {
 		if pool.Engine != nil {
-			crowded = append(crowded, st.fleet.Crowded(name, st.now)...)
+			crowded = append(crowded, st.fleet.OverloadReports(name, st.now)...)
 		}
 	}
 	st.loadReports.crowded, st.loadReports.crowdedAt = crowded, st.now
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -61,7 +61,7 @@
 // still ran: the list entry of one that crashes expires seconds later.
 func (st *reduction) recordCrash(u chutefleet.Upstream, evidence string, suspects ...chutequarantine.Suspect) {
 	known, listed := st.fleet.Get(u.ID)
-	serving := listed && known.State == chutefleet.StateReady || st.fleet.HasReplaced(u.ID)
+	serving := listed && known.State == chutefleet.StateReady || st.fleet.IsReplaced(u.ID)
 	if !serving || len(suspects) == 0 {
 		return
 	}
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -14,8 +14,8 @@
 // updateUpstreams applies the platform's list of upstreams.
 func (st *reduction) updateUpstreams(e UpstreamsListed) {
 	before := st.fleet
-	st.fleet = st.fleet.WithListed(e.Upstreams, e.Hold, st.now)
-	for _, u := range st.fleet.Replaced(before) {
+	st.fleet = st.fleet.WithList(e.Upstreams, e.Hold, st.now)
+	for _, u := range st.fleet.ReplacedSince(before) {
 		st.upstreamRestarted(u)
 	}
 	st.applyLimitsOfNewUpstreams(before)
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -101,7 +101,7 @@
 
 // shard returns the zone whose upstreams the job is for, or an empty string for the whole pool.
 func (st *reduction) shard(job chutebatch.Job) string {
-	if st.fleet.Len(job.Pool, st.now) <= maxUnshardedUpstreams || !st.fleet.UsableInZone(job.Pool, job.Zone, st.now) {
+	if st.fleet.PoolSize(job.Pool, st.now) <= maxUnshardedUpstreams || !st.fleet.HasAvailableInZone(job.Pool, job.Zone, st.now) {
 		return ""
 	}
 
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -191,7 +191,7 @@
 		st.setEvacuatedZones(e.Zones)
 	case PeersListed:
 		st.updatePeers(e.Peers)
-		st.fleet = st.fleet.WithNodes(st.settings.Self.Name, st.peers.names()).WithSharers(st.peers.sharers(st.now))
+		st.fleet = st.fleet.WithNodes(st.settings.Self.Name, st.peers.names()).WithLimitOwners(st.peers.sharers(st.now))
 	case QuarantineAnnounced:
 		st.quarantineAnnounced(e)
 	case LimitsAnnounced:
