--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -88,7 +88,7 @@
 // dropExpiredWaits removes the wait reports that have expired.
 func (st *reduction) dropExpiredWaits() {
 	for i := st.waitReports.Iterator(); !i.Done(); {
-		if key, heard, _ := i.Next(); st.now.Sub(heard.at) >= waitReportTTL {
+		if key, report, _ := i.Next(); st.now.Sub(report.at) >= waitReportTTL {
 			st.waitReports = st.waitReports.Delete(key)
 		}
 	}
@@ -97,24 +97,24 @@
 // expectedWait returns how long jobs are expected to wait in a queue now: the last report less the
 // time since, or 0 without a report.
 func (st *reduction) expectedWait(queue queueKey) time.Duration {
-	heard, ok := st.currentWait(queue)
+	report, ok := st.currentWait(queue)
 	if !ok {
 		queue.workspace = ""
-		heard, ok = st.currentWait(queue)
+		report, ok = st.currentWait(queue)
 	}
 	if !ok {
 		return 0
 	}
 
-	return max(0, heard.wait-st.now.Sub(heard.at))
+	return max(0, report.wait-st.now.Sub(report.at))
 }
 
 // currentWait returns the last wait report of a queue, and false if there is none or it has
 // expired.
 func (st *reduction) currentWait(queue queueKey) (waitReport, bool) {
-	heard, ok := st.waitReports.Get(queue)
+	report, ok := st.waitReports.Get(queue)
 
-	return heard, ok && st.now.Sub(heard.at) < waitReportTTL
+	return report, ok && st.now.Sub(report.at) < waitReportTTL
 }
 
 // overShare reports whether a request's workspace is known to be over its share of the queue of a
@@ -203,8 +203,8 @@
 	sample.ID = math.MaxUint64
 	late := st.collector.Late(sample, st.now)
 	key := queueKey{lane: lane, priority: sample.Priority, shareLevel: level}
-	if heard, ok := st.localWaits.Get(key); ok && !late && st.now.Sub(heard.at) < localWaitTTL {
-		return heard.wait, level > 0
+	if report, ok := st.localWaits.Get(key); ok && !late && st.now.Sub(report.at) < localWaitTTL {
+		return report.wait, level > 0
 	}
 	wait = st.collector.Wait(sample, st.laneSeats(lane), st.now)
 	if !late {
--- a/internal/chuterelay/arrive.go
+++ b/internal/chuterelay/arrive.go
@@ -8,10 +8,10 @@
 
 // admit accepts a request, or refuses it before any part of it runs.
 func (st *reduction) admit(e Arrived) {
-	waited := st.callerWaits.waitedBefore(e.Pipeline.Name, e.CallerWait)
+	waitedBefore := st.callerWaits.waitedBefore(e.Pipeline.Name, e.CallerWait)
 	st.callerWaits = st.callerWaits.with(e.Pipeline.Name, e.CallerWait)
 	r := request{
-		Submission: e.Submission, arrivedAt: st.now, aimAt: st.now.Add(e.Pipeline.Aim - waited), waitedBefore: waited,
+		Submission: e.Submission, arrivedAt: st.now, aimAt: st.now.Add(e.Pipeline.Aim - waitedBefore), waitedBefore: waitedBefore,
 	}
 	r.callerLeavesAt = r.Deadline
 	if patience := r.Pipeline.Patience; patience > 0 {
--- a/internal/chuterelay/callerwait.go
+++ b/internal/chuterelay/callerwait.go
@@ -29,17 +29,17 @@
 }
 
 // with records the wait that one caller has stated; it ignores a wait of 0, which is not stated.
-func (p callerWaits) with(pipeline string, wait time.Duration) callerWaits {
+func (w callerWaits) with(pipeline string, wait time.Duration) callerWaits {
 	if wait <= 0 {
-		return p
+		return w
 	}
-	longest, _ := p.longest.Get(pipeline)
+	longest, _ := w.longest.Get(pipeline)
 	if wait < longest {
 		wait = longest - time.Duration(longestWaitDecay*float64(longest-wait))
 	}
-	p.longest = p.longest.Set(pipeline, wait)
+	w.longest = w.longest.Set(pipeline, wait)
 
-	return p
+	return w
 }
 
 // waitedBefore estimates how long a caller had waited before this sending.
@@ -48,8 +48,8 @@
 // it is so for the first sending. Treated as new, resent requests of a burst take the places of
 // others that can still be on time, and are late all the same: with a third of all requests
 // refused once, two in five answers were late.
-func (p callerWaits) waitedBefore(pipeline string, wait time.Duration) time.Duration {
-	longest, _ := p.longest.Get(pipeline)
+func (w callerWaits) waitedBefore(pipeline string, wait time.Duration) time.Duration {
+	longest, _ := w.longest.Get(pipeline)
 	if wait <= 0 || float64(wait) >= resentBelow*float64(longest) {
 		return 0
 	}
--- a/internal/chuterelay/calltimes.go
+++ b/internal/chuterelay/calltimes.go
@@ -25,30 +25,30 @@
 }
 
 // with adds the ratio of one call.
-func (l callTimeRatio) with(ratio float64) callTimeRatio {
-	l.samples++
-	if l.samples == 1 {
+func (c callTimeRatio) with(ratio float64) callTimeRatio {
+	c.samples++
+	if c.samples == 1 {
 		// The variation is unknown after one sample; retransmission timers also start with half of
 		// it.
-		l.mean, l.deviation = ratio, ratio/2
+		c.mean, c.deviation = ratio, ratio/2
 
-		return l
+		return c
 	}
-	weight := max(minSampleWeight, 1/l.samples)
-	l.deviation += weight * (math.Abs(ratio-l.mean) - l.deviation)
-	l.mean += weight * (ratio - l.mean)
+	weight := max(minSampleWeight, 1/c.samples)
+	c.deviation += weight * (math.Abs(ratio-c.mean) - c.deviation)
+	c.mean += weight * (ratio - c.mean)
 
-	return l
+	return c
 }
 
 // factor returns the factor by which to multiply the time expected from the prompt's size. It is 1
 // without samples and never more than 1.
-func (l callTimeRatio) factor() float64 {
-	if l.samples == 0 {
+func (c callTimeRatio) factor() float64 {
+	if c.samples == 0 {
 		return 1
 	}
 
-	return min(1, l.mean+deviationFactor*l.deviation)
+	return min(1, c.mean+deviationFactor*c.deviation)
 }
 
 // callTimes maps a pipeline to the callTimeRatio of its calls.
@@ -62,15 +62,15 @@
 
 // with adds the time that a call took until its first event.
 func (t callTimes) with(r request, took time.Duration) callTimes {
-	l, _ := t.ratios.Get(r.Pipeline.Name)
-	t.ratios = t.ratios.Set(r.Pipeline.Name, l.with(float64(took)/float64(r.callTime())))
+	ratio, _ := t.ratios.Get(r.Pipeline.Name)
+	t.ratios = t.ratios.Set(r.Pipeline.Name, ratio.with(float64(took)/float64(r.callTime())))
 
 	return t
 }
 
 // expected returns the usual time of a request's call until its first event.
 func (t callTimes) expected(r request) time.Duration {
-	l, _ := t.ratios.Get(r.Pipeline.Name)
+	ratio, _ := t.ratios.Get(r.Pipeline.Name)
 
-	return time.Duration(l.factor() * float64(r.callTime()))
+	return time.Duration(ratio.factor() * float64(r.callTime()))
 }
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -190,9 +190,9 @@
 // it needs: cutting its calls off would only have their parts made twice.
 func (st *reduction) callTimeout(call chutebatch.Call) time.Duration {
 	pace, _ := st.upstreamPaces.Get(call.Upstream)
-	patience := max(callTimeoutFactor, slowCallTimeoutFactor*pace.slowness)
+	factor := max(callTimeoutFactor, slowCallTimeoutFactor*pace.slowness)
 
-	return time.Duration(patience*float64(st.expectedCallTime(call))) + callTimeoutMargin
+	return time.Duration(factor*float64(st.expectedCallTime(call))) + callTimeoutMargin
 }
 
 // callEnded records the results of a call and returns them to the nodes that requested them.
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -57,11 +57,11 @@
 }
 
 // logLimitChange logs an upstream's limit if it has changed.
-func (st *reduction) logLimitChange(u chutefleet.Upstream, before chutefleet.Limit, limited bool, note LogUpstreamLimit) {
-	note.Upstream = u
-	note.Limit, note.Limited = st.fleet.Limit(u.ID)
-	if limited != note.Limited || before.PerSecond != note.Limit.PerSecond {
-		st.emit(note)
+func (st *reduction) logLimitChange(u chutefleet.Upstream, before chutefleet.Limit, limited bool, effect LogUpstreamLimit) {
+	effect.Upstream = u
+	effect.Limit, effect.Limited = st.fleet.Limit(u.ID)
+	if limited != effect.Limited || before.PerSecond != effect.Limit.PerSecond {
+		st.emit(effect)
 	}
 }
 
--- a/internal/chuterelay/peers.go
+++ b/internal/chuterelay/peers.go
@@ -50,9 +50,9 @@
 	self Peer
 	all  []Peer
 	lost map[string]lostPeer
-	// leftNodes maps the nodes that have left the list to the time until which they keep their
+	// departedNodes maps the nodes that have left the list to the time until which they keep their
 	// share of what all nodes share.
-	leftNodes map[string]time.Time
+	departedNodes map[string]time.Time
 	// shuttingDown says that this node is shutting down and collects for nobody.
 	shuttingDown bool
 }
@@ -72,11 +72,11 @@
 	return p
 }
 
-// withLeftNodes records which nodes are missing from a new list. They keep their share of what all
+// withDepartedNodes records which nodes are missing from a new list. They keep their share of what all
 // nodes share until the given time.
-func (p peers) withLeftNodes(all []Peer, now, until time.Time) peers {
+func (p peers) withDepartedNodes(all []Peer, now, until time.Time) peers {
 	departed := map[string]time.Time{}
-	for name, keptUntil := range p.leftNodes {
+	for name, keptUntil := range p.departedNodes {
 		if now.Before(keptUntil) {
 			departed[name] = keptUntil
 		}
@@ -87,7 +87,7 @@
 	for _, peer := range all {
 		delete(departed, peer.Name)
 	}
-	p.leftNodes = departed
+	p.departedNodes = departed
 
 	return p
 }
@@ -96,7 +96,7 @@
 // list, and those that have left it and may still be at work.
 func (p peers) sharers(now time.Time) chutequota.Owners {
 	names := p.names()
-	for name, until := range p.leftNodes {
+	for name, until := range p.departedNodes {
 		if now.Before(until) {
 			names = append(names, name)
 		}
--- a/internal/chuterelay/request.go
+++ b/internal/chuterelay/request.go
@@ -180,16 +180,16 @@
 
 // resultUpstreams lists the upstream incarnations that hold results of the stages, each once.
 func (r request) resultUpstreams(stages []int) []string {
-	var keepers []string
+	var upstreams []string
 	for _, i := range stages {
 		for _, result := range r.stages[i].results {
-			if !slices.Contains(keepers, result.Upstream) {
-				keepers = append(keepers, result.Upstream)
+			if !slices.Contains(upstreams, result.Upstream) {
+				upstreams = append(upstreams, result.Upstream)
 			}
 		}
 	}
 
-	return keepers
+	return upstreams
 }
 
 // answerBy returns when the answer, or its first event, has to be there.
@@ -205,8 +205,8 @@
 	return r.callerLeavesAt
 }
 
-// hasStageResults reports whether any stage has run for the request.
-func (r request) hasStageResults() bool {
+// anyStageRan reports whether any stage has run for the request.
+func (r request) anyStageRan() bool {
 	for i := range r.stages {
 		if r.stages[i].done && r.parts(i) > 0 {
 			return true
--- a/internal/chuterelay/results.go
+++ b/internal/chuterelay/results.go
@@ -84,15 +84,15 @@
 // dropJobRequest ends a job request. The collector that made the results frees them; if it was
 // lost, this node does.
 func (st *reduction) dropJobRequest(id uint64, results []chutebatch.Result) {
-	a, ok := st.jobRequests.Get(id)
+	jr, ok := st.jobRequests.Get(id)
 	if !ok {
 		return
 	}
 	st.jobRequests = st.jobRequests.Delete(id)
 	switch {
-	case a.job != 0:
-		st.dropJob(a.job)
-	case a.orphaned:
+	case jr.job != 0:
+		st.dropJob(jr.job)
+	case jr.orphaned:
 		st.freeResults(results)
 	default:
 		st.emit(CancelJob{JobRequestID: id})
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -34,7 +34,7 @@
 		job.Zone = r.inputZone(stage.After, r.zone)
 		job.Deadline = st.inputsExpireAt(r, stage.After)
 	}
-	if r.hasStageResults() {
+	if r.anyStageRan() {
 		job.AimAt = laterOf(job.AimAt, st.now.Add(remaining+st.dueTime(stage.Pool)))
 	}
 	if r.answerBegun {
@@ -43,7 +43,7 @@
 	job.Zone = st.placementZone(job.Zone)
 	job.Shard = st.shard(job)
 	peer := st.peers.collector(job.Lane(), st.zoneSilence.allCutOff(st.now), st.now)
-	a := jobRequest{
+	jr := jobRequest{
 		handle: r.Handle, stage: i, peer: peer, queue: queueKey{
 			lane: job.Lane(), priority: r.rank(), workspace: r.Workspace.Name,
 		},
@@ -56,14 +56,14 @@
 	})
 	if peer.Name == st.settings.Self.Name {
 		job.ID = st.newID()
-		a.job = job.ID
-		st.jobRequests = st.jobRequests.Set(id, a)
+		jr.job = job.ID
+		st.jobRequests = st.jobRequests.Set(id, jr)
 		st.origins = st.origins.Set(job.ID, jobOrigin{jobRequestID: id})
 		st.queueJob(job)
 
 		return
 	}
-	st.jobRequests = st.jobRequests.Set(id, a)
+	st.jobRequests = st.jobRequests.Set(id, jr)
 	st.emit(RequestJob{JobRequestID: id, Peer: peer, Job: job, Loads: st.takePendingLoads()})
 }
 
@@ -110,31 +110,31 @@
 
 // jobDone records a stage's results and continues the request.
 func (st *reduction) jobDone(e JobDone) {
-	a, ok := st.jobRequests.Get(e.JobRequestID)
+	jr, ok := st.jobRequests.Get(e.JobRequestID)
 	if !ok {
 		return
 	}
-	r, ok := st.requests.Get(a.handle)
-	if !ok || r.stages[a.stage].jobRequestID != e.JobRequestID {
+	r, ok := st.requests.Get(jr.handle)
+	if !ok || r.stages[jr.stage].jobRequestID != e.JobRequestID {
 		return
 	}
-	st.recordReply(a.peer.Zone)
-	st.peers = st.peers.withReachable(a.peer.Name)
+	st.recordReply(jr.peer.Zone)
+	st.peers = st.peers.withReachable(jr.peer.Name)
 	st.applyLoads(e.Loads)
-	st.recordWait(r, a.queue, e.Wait, e.OverShare)
-	s := r.stages[a.stage]
+	st.recordWait(r, jr.queue, e.Wait, e.OverShare)
+	s := r.stages[jr.stage]
 	s.done = true
 	s.results = e.Results
 	s.doneAt = st.now
-	r = r.withStage(a.stage, s)
+	r = r.withStage(jr.stage, s)
 	st.logStep(StepStageDone, r, func(n *LogStep) {
-		n.Pool, n.Stage, n.Peer, n.Wait = r.Pipeline.Stages[a.stage].Pool, a.stage, a.peer.Name, e.Wait
+		n.Pool, n.Stage, n.Peer, n.Wait = r.Pipeline.Stages[jr.stage].Pool, jr.stage, jr.peer.Name, e.Wait
 		n.Parts = len(e.Results)
-		n.Zone = r.inputZone([]int{a.stage}, "")
+		n.Zone = r.inputZone([]int{jr.stage}, "")
 	})
 	st.emit(Charge{
 		Attempt: e.JobRequestID, Workspace: r.Workspace.Name, Pipeline: r.Pipeline.Name,
-		Stage: r.Pipeline.Stages[a.stage].Pool, Units: int64(len(e.Results)),
+		Stage: r.Pipeline.Stages[jr.stage].Pool, Units: int64(len(e.Results)),
 	})
 	r = st.releaseConsumed(r)
 	st.putRequest(r)
@@ -147,38 +147,38 @@
 // Parts may be made twice without harm, so the next collector is used at once. What the lost one
 // still makes is dropped there when its lease ends.
 func (st *reduction) jobFailed(e JobFailed) {
-	a, ok := st.jobRequests.Get(e.JobRequestID)
+	jr, ok := st.jobRequests.Get(e.JobRequestID)
 	if !ok {
 		return
 	}
 	st.applyLoads(e.Loads)
 	if e.PeerLost {
-		st.peers = st.peers.withLost(a.peer.Name, e.PeerSilent, st.now)
+		st.peers = st.peers.withLost(jr.peer.Name, e.PeerSilent, st.now)
 	}
 	if e.PeerSilent {
-		st.recordSilence(a.peer.Zone, a.peer.Name)
+		st.recordSilence(jr.peer.Zone, jr.peer.Name)
 	}
-	r, ok := st.requests.Get(a.handle)
-	if !ok || r.stages[a.stage].jobRequestID != e.JobRequestID {
+	r, ok := st.requests.Get(jr.handle)
+	if !ok || r.stages[jr.stage].jobRequestID != e.JobRequestID {
 		return
 	}
-	if r.stages[a.stage].done {
-		a.orphaned = true
-		st.jobRequests = st.jobRequests.Set(e.JobRequestID, a)
+	if r.stages[jr.stage].done {
+		jr.orphaned = true
+		st.jobRequests = st.jobRequests.Set(e.JobRequestID, jr)
 
 		return
 	}
 	st.logStep(StepStageFailed, r, func(n *LogStep) {
-		n.Pool, n.Stage, n.Peer, n.Reason = r.Pipeline.Stages[a.stage].Pool, a.stage, a.peer.Name, e.Reason
+		n.Pool, n.Stage, n.Peer, n.Reason = r.Pipeline.Stages[jr.stage].Pool, jr.stage, jr.peer.Name, e.Reason
 	})
 	if !e.PeerLost {
-		st.recordWait(r, a.queue, e.Wait, e.OverShare)
+		st.recordWait(r, jr.queue, e.Wait, e.OverShare)
 	}
 	st.jobRequests = st.jobRequests.Delete(e.JobRequestID)
-	s := r.stages[a.stage]
+	s := r.stages[jr.stage]
 	s.jobRequestID = 0
 	s.failures++
-	r = r.withStage(a.stage, s)
+	r = r.withStage(jr.stage, s)
 	inputsGone := e.Reason == string(chutebatch.PartInputGone) || e.Reason == string(chutebatch.PartLate)
 	isOverloaded := e.Reason == string(chutebatch.PartOverloaded)
 	if e.Reason == string(chutebatch.PartQuarantined) || e.Reason == string(chutebatch.PartEnded) {
@@ -196,11 +196,11 @@
 		if e.OverShare {
 			ownQueueWait = e.Wait
 		}
-		st.giveUp(r, stageRefusal(r.Pipeline.Stages[a.stage].Pool, e.Reason, ownQueueWait))
+		st.giveUp(r, stageRefusal(r.Pipeline.Stages[jr.stage].Pool, e.Reason, ownQueueWait))
 
 		return
 	}
-	st.putRequest(st.resetInputs(r, a.stage, e.Reason))
+	st.putRequest(st.resetInputs(r, jr.stage, e.Reason))
 	st.advance(r)
 }
 
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -214,7 +214,7 @@
 	if st.peersListedAt.IsZero() {
 		st.peersListedAt = st.now
 	}
-	st.peers = st.peers.withLeftNodes(all, st.now, st.now.Add(st.departedShareTime())).withListed(all)
+	st.peers = st.peers.withDepartedNodes(all, st.now, st.now.Add(st.departedShareTime())).withListed(all)
 }
 
 // adoptConfig applies a configuration that is newer than the one in force.
