--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -75,7 +75,7 @@
 	Handle uint64
 }
 
-// JobDone reports that a peer's collector has all results of a requested job.
+// JobDone reports that the collector has all results of a requested job.
 type JobDone struct {
 	JobRequestID uint64
 	Results      []chutebatch.Result
@@ -163,7 +163,7 @@
 	EndUnreachable AttemptEnd = "Unreachable"
 	// EndBroken: the connection broke or the answer was malformed; the call may have run.
 	EndBroken AttemptEnd = "Broken"
-	// EndSilent: the upstream did not reply at all; the call may have run.
+	// EndSilent: no sign of life from the upstream; the call may have run.
 	EndSilent AttemptEnd = "Silent"
 )
 
--- a/internal/chuterelay/peers.go
+++ b/internal/chuterelay/peers.go
@@ -72,8 +72,8 @@
 	return p
 }
 
-// withDepartedNodes records which nodes are missing from a new list. They keep their share of what all
-// nodes share until the given time.
+// withDepartedNodes records which nodes are missing from a new list. They keep their share of what
+// all nodes share until the given time.
 func (p peers) withDepartedNodes(all []Peer, now, until time.Time) peers {
 	departed := map[string]time.Time{}
 	for name, keptUntil := range p.departedNodes {
