--- a/internal/chuteadmission/scheduler.go
+++ b/internal/chuteadmission/scheduler.go
@@ -17,7 +17,7 @@
 	lastSeq          uint64
 }
 
-// backlogged is the content of a flow.
+// backlogged is implemented by the contents of a flow: a team's or a workspace's queue.
 type backlogged interface {
 	// backlog returns the number of waiters.
 	backlog() int
