--- a/internal/chutefleet/limitrecord.go
+++ b/internal/chutefleet/limitrecord.go
@@ -28,7 +28,7 @@
 }
 
 // DecodeLimitRecord decodes a row of the store. ok is false if the row is not a limit
-// record or is invalid; for an invalid one the error names the row.
+// record or is invalid; for an invalid one err is set.
 func DecodeLimitRecord(key string, value []byte) (record LimitRecord, ok bool, err error) {
 	keyUpstream, isLimit := strings.CutPrefix(key, limitKeyPrefix)
 	if !isLimit {
