--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -38,7 +38,8 @@
 	// Slots is the number of calls that it runs concurrently.
 	Slots int
 	State State
-	// Cold is how much longer the upstream stays cold, rounded to steps; 0 if it is warm.
+	// Cold is how much longer the upstream stays cold, in steps; 0 if it is warm. An
+	// upstream is cold for some time after its start and handles fewer calls then.
 	Cold time.Duration
 }
 
--- a/internal/chutefleet/zoneview.go
+++ b/internal/chutefleet/zoneview.go
@@ -10,8 +10,8 @@
 type ZoneView struct {
 	Zone      string
 	Evacuated bool
-	// Upstreams counts the upstreams that take calls, Cold those of them that are cold;
-	// Leaving and Unreadable count the others.
+	// Upstreams counts the upstreams that take calls, Cold those of them that have started
+	// recently and are cold; Leaving and Unreadable count the others.
 	Upstreams  int
 	Cold       int
 	Leaving    int
