--- a/internal/chutegate/ledger.go
+++ b/internal/chutegate/ledger.go
@@ -80,7 +80,7 @@
 	n.storeCalls.add(callCounters)
 	version, currentRows, err := n.store.ReplaceIfUnchanged(ctx, n.settings.Tables.Ledger, ledgerPartition(n.settings.Self.Name), writes)
 	if err != nil {
-		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("the write of cost counters was not confirmed; they are written again")
+		n.log.Warn().Err(err).Int("Rows", len(rows)).Msg("cost counters not confirmed; they are written again")
 
 		return
 	}
