--- a/internal/chutecore/arrival.go
+++ b/internal/chutecore/arrival.go
@@ -162,11 +162,11 @@
 // for any number above 0, since one free slot is enough for the request.
 func (st *transition) freeSlots(r Request) int {
 	query := st.routingQuery(r)
-	if st.queue.Len(r.currentStage().Pool) == 0 && st.routing.HasFree(query) {
+	if st.queue.Len(r.currentStage().Pool) == 0 && st.routing.HasFreeSlot(query) {
 		return 1
 	}
 
-	return st.routing.Free(query)
+	return st.routing.FreeSlots(query)
 }
 
 // laterStageWaits sums the waits expected in the queues of the later stages.
--- a/internal/chutecore/attempt.go
+++ b/internal/chutecore/attempt.go
@@ -56,7 +56,7 @@
 // recordCachedBlocks records in the routing table which prompt blocks the engine now has cached.
 func (st *transition) recordCachedBlocks(r Request, e AttemptFinished) {
 	if len(r.Blocks) > 0 {
-		st.routing = st.routing.WithCached(e.Upstream, r.Blocks, e.Usage.CachedUnits)
+		st.routing = st.routing.WithCachedPrompt(e.Upstream, r.Blocks, e.Usage.CachedUnits)
 	}
 }
 
@@ -166,7 +166,7 @@
 // retry budget still limit it.
 func (st *transition) allowTriedUpstreams(r Request, f chuterequest.Failure) Request {
 	connection := f.Kind == chuterequest.FailureStalled || f.Kind == chuterequest.FailureBroken
-	if connection && st.routing.Candidates(st.routingQuery(r)) == 0 {
+	if connection && st.routing.CountCandidates(st.routingQuery(r)) == 0 {
 		r.Tried = nil
 		st.setRequest(r)
 	}
@@ -193,7 +193,7 @@
 	if !st.now.Before(r.Deadline) {
 		return "the deadline passed", false
 	}
-	if st.routing.Candidates(st.routingQuery(r)) == 0 {
+	if st.routing.CountCandidates(st.routingQuery(r)) == 0 {
 		return "no other upstream can be used", false
 	}
 	if f.Kind == chuterequest.FailureUnreachable || f.Leaving || canResume(r) {
--- a/internal/chutecore/reduce_test.go
+++ b/internal/chutecore/reduce_test.go
@@ -74,11 +74,11 @@
 }
 
 func (d *driver) listUpstreams(n int, leaving bool) {
-	var listed []chuterouting.Listed
+	var listed []chuterouting.ListedUpstream
 	for _, pool := range []string{"encoder", "forum", "model"} {
 		for i := range n {
 			name := fmt.Sprintf("%s-%d", pool, i)
-			listed = append(listed, chuterouting.Listed{
+			listed = append(listed, chuterouting.ListedUpstream{
 				Name: name, Address: name, Zone: "a", Pool: pool, Incarnation: "1", Leaving: leaving,
 			})
 		}
--- a/internal/chutecore/state.go
+++ b/internal/chutecore/state.go
@@ -137,7 +137,7 @@
 
 // Upstreams returns the routing view of each upstream.
 func (s State) Upstreams() []chuterouting.UpstreamView {
-	return s.routing.All()
+	return s.routing.UpstreamViews()
 }
 
 // poolOf returns the configuration of the pool that a stage runs in.
--- a/internal/chutenode/platform.go
+++ b/internal/chutenode/platform.go
@@ -55,12 +55,12 @@
 
 // takeList hands the list to the reducer and polls exactly the upstreams on it.
 func (n *Node) takeList(vms []chutetable.VM) {
-	var upstreams []chuterouting.Listed
+	var upstreams []chuterouting.ListedUpstream
 	var seeds []chutemember.Seed
 	for _, vm := range vms {
 		switch vm.Kind {
 		case chutetable.VMUpstream:
-			upstreams = append(upstreams, chuterouting.Listed{
+			upstreams = append(upstreams, chuterouting.ListedUpstream{
 				Name: vm.Name, Address: vm.Address, Zone: vm.Zone, Pool: vm.Pool,
 				Incarnation: vm.Incarnation, Leaving: vm.State == chutetable.VMLeaving,
 			})
@@ -75,7 +75,7 @@
 }
 
 // pollListed starts the polls of new upstreams and ends those of vanished ones; it runs in the loop.
-func (n *Node) pollListed(upstreams []chuterouting.Listed) {
+func (n *Node) pollListed(upstreams []chuterouting.ListedUpstream) {
 	listed := map[string]bool{}
 	for _, u := range upstreams {
 		listed[u.Name] = true
@@ -93,7 +93,7 @@
 }
 
 // startPoll begins to ask one upstream for its reports.
-func (n *Node) startPoll(u chuterouting.Listed) {
+func (n *Node) startPoll(u chuterouting.ListedUpstream) {
 	if old, ok := n.polls[u.Name]; ok {
 		old.cancel()
 	}
@@ -121,7 +121,7 @@
 }
 
 // pollUpstream asks for load and cache events until its context ends.
-func (n *Node) pollUpstream(ctx context.Context, u chuterouting.Listed, period time.Duration, engine func() bool) {
+func (n *Node) pollUpstream(ctx context.Context, u chuterouting.ListedUpstream, period time.Duration, engine func() bool) {
 	after := uint64(0)
 	for ctx.Err() == nil {
 		n.pollLoad(ctx, u)
@@ -133,7 +133,7 @@
 }
 
 // pollLoad asks an upstream for its load report.
-func (n *Node) pollLoad(ctx context.Context, u chuterouting.Listed) {
+func (n *Node) pollLoad(ctx context.Context, u chuterouting.ListedUpstream) {
 	asked, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	load, err := n.upstreams.Load(asked, u.Address)
@@ -146,7 +146,7 @@
 }
 
 // pollCache asks an engine for its cache events after a sequence number.
-func (n *Node) pollCache(ctx context.Context, u chuterouting.Listed, after uint64) uint64 {
+func (n *Node) pollCache(ctx context.Context, u chuterouting.ListedUpstream, after uint64) uint64 {
 	events, next, err := n.upstreams.CacheEvents(ctx, u.Address, after)
 	if err != nil || len(events) == 0 {
 		return after
--- a/internal/chuteproof/control_orders_test.go
+++ b/internal/chuteproof/control_orders_test.go
@@ -90,9 +90,9 @@
 
 // watchEngines lists the engines and polls their reports.
 func (n *coreNode) watchEngines() {
-	var listed []chuterouting.Listed
+	var listed []chuterouting.ListedUpstream
 	for _, e := range n.h.w.engines {
-		listed = append(listed, chuterouting.Listed{
+		listed = append(listed, chuterouting.ListedUpstream{
 			Name: e.name, Address: e.name, Zone: engineZone, Pool: enginePool, Incarnation: "1",
 		})
 		n.pollEngine(e)
--- a/internal/chuteproof/ours_test.go
+++ b/internal/chuteproof/ours_test.go
@@ -67,14 +67,14 @@
 func (n *ours) configure(version uint64, cfg chuteconfig.Config) {
 	fetch := n.headRead(version)
 	n.event(chutecore.BodyFetched{Stamp: n.stamp(), Fetch: fetch, Digest: fetch.Digest, Config: cfg})
-	var listed []chuterouting.Listed
+	var listed []chuterouting.ListedUpstream
 	for pool := range cfg.Pools {
 		for i := range worldUpstreams {
 			name := fmt.Sprintf("%s-upstream-%d", pool, i)
-			listed = append(listed, chuterouting.Listed{Name: name, Address: name, Zone: "zone-1", Pool: pool, Incarnation: "1"})
+			listed = append(listed, chuterouting.ListedUpstream{Name: name, Address: name, Zone: "zone-1", Pool: pool, Incarnation: "1"})
 		}
 	}
-	slices.SortFunc(listed, func(a, b chuterouting.Listed) int { return compareText(a.Name, b.Name) })
+	slices.SortFunc(listed, func(a, b chuterouting.ListedUpstream) int { return compareText(a.Name, b.Name) })
 	n.event(chutecore.UpstreamsListed{Stamp: n.stamp(), Upstreams: listed})
 }
 
--- a/internal/chuterouting/choose.go
+++ b/internal/chuterouting/choose.go
@@ -17,17 +17,17 @@
 	// busySlope is how much longer, as a part of the service time, a call is ranked
 	// to take in a full upstream than in an empty one: engines slow down as their
 	// batch grows. It breaks ties between upstreams that both have a free slot.
-	busySlope = 0.3
+	busyPenalty = 0.3
 )
 
 // candidate is an upstream with what one query expects of it.
 type candidate struct {
-	entry     *entry
-	occupancy float64
-	expected  time.Duration
+	entry            *entry
+	occupancy        float64
+	expectedDuration time.Duration
 	// rank is what candidates are compared by, in nanoseconds.
-	rank   float64
-	cached float64
+	cost         float64
+	cachedBlocks float64
 }
 
 // Choose picks the upstream for a call, or reports false when there is none; random(n) returns a number in [0,n).
@@ -42,114 +42,114 @@
 		return Choice{}, false
 	}
 	if t.settings.Balancing == chuteconfig.BalancingRoundRobin {
-		return t.turn(group, &q)
-	}
-	weigh := weighing{table: t, query: &q, times: t.poolTimes(q.Pool), limit: t.settings.reportAgeLimit()}
-	weigh.service = float64(weigh.times.service(q.Stage, t.settings.typical(q.Pool)))
-	weigh.work = float64(weigh.times.work(t.settings.typical(q.Pool)))
-	var room [maxSample + 1]candidate
-	filter := filter{table: &t, query: &q, limit: weigh.limit}
-	for _, filter.tier = range tiers {
-		if filter.tier.anyVersion && q.Version == "" {
+		return t.chooseRoundRobin(group, &q)
+	}
+	scorer := candidateScorer{table: t, query: &q, times: t.poolTimes(q.Pool), reportAgeLimit: t.settings.reportAgeLimit()}
+	scorer.serviceTime = float64(scorer.times.serviceTime(q.Stage, t.settings.typicalServiceTime(q.Pool)))
+	scorer.meanCallTime = float64(scorer.times.meanCallTime(t.settings.typicalServiceTime(q.Pool)))
+	var buffer [maxSample + 1]candidate
+	tierFilter := filter{table: &t, query: &q, reportAgeLimit: scorer.reportAgeLimit}
+	for _, tierFilter.tier = range tiers {
+		if tierFilter.tier.otherVersion && q.Version == "" {
 			continue
 		}
-		sample := weigh.sample(group, &filter, random, room[:0])
+		sample := scorer.sampleCandidates(group, &tierFilter, random, buffer[:0])
 		if len(sample) == 0 {
 			continue
 		}
-		if filter.tier.aside {
-			return weigh.choice(leastRank(sample)), true
+		if tierFilter.tier.suspended {
+			return scorer.newChoice(lowestCost(sample)), true
 		}
 
-		return weigh.choice(pick(sample, random)), true
+		return scorer.newChoice(pickCandidate(sample, random)), true
 	}
 
 	return Choice{}, false
 }
 
 // weighing is what the candidates of one query have in common.
-type weighing struct {
-	table Table
-	query *Query
-	times *poolTimes
-	limit time.Duration
+type candidateScorer struct {
+	table          Table
+	query          *Query
+	times          *poolTimes
+	reportAgeLimit time.Duration
 	// service and work are the usual times of this call and of those already there, in nanoseconds.
-	service float64
-	work    float64
+	serviceTime  float64
+	meanCallTime float64
 }
 
 // sample weighs up to maxSample random members of the tier, and the likely holder of the prompt's prefix.
-func (w *weighing) sample(group *poolGroup, f *filter, random func(n int) int, into []candidate) []candidate {
-	skipped := false
-	for _, part := range group.members(f.tier) {
-		for visit := newVisit(len(part), random); visit.left > 0; {
-			e := part[visit.next()]
+func (s *candidateScorer) sampleCandidates(group *poolGroup, f *filter, random func(n int) int, candidates []candidate) []candidate {
+	isTruncated := false
+	for _, part := range group.tierEntries(f.tier) {
+		for order := newRandomOrder(len(part), random); order.remaining > 0; {
+			e := part[order.next()]
 			if !f.admits(e) {
 				continue
 			}
-			if len(into) == maxSample {
-				skipped = true
+			if len(candidates) == maxSample {
+				isTruncated = true
 
 				break
 			}
-			into = append(into, w.candidate(e))
+			candidates = append(candidates, s.newCandidate(e))
 		}
 	}
-	if skipped && len(w.query.Blocks) > 0 {
-		return w.withHolder(f, into)
+	if isTruncated && len(s.query.Blocks) > 0 {
+		return s.withCacheHolder(f, candidates)
 	}
 
-	return into
+	return candidates
 }
 
 // withHolder adds the upstream that is believed to hold the prompt's prefix, unless it is in the sample.
-func (w *weighing) withHolder(f *filter, into []candidate) []candidate {
-	name, ok := w.table.holder(w.query.Blocks)
+func (s *candidateScorer) withCacheHolder(f *filter, candidates []candidate) []candidate {
+	name, ok := s.table.cacheHolder(s.query.Blocks)
 	if !ok {
-		return into
+		return candidates
 	}
-	place, ok := w.table.index[name]
-	if !ok || place.other && !f.tier.other || !place.other && !f.tier.own {
-		return into
+	location, ok := s.table.locations[name]
+	if !ok || location.inOtherZone && !f.tier.otherZones || !location.inOtherZone && !f.tier.ownZone {
+		return candidates
 	}
-	e := w.table.entry(name)
-	present := slices.ContainsFunc(into, func(c candidate) bool { return c.entry == e })
-	if present || e.upstream.Pool != w.query.Pool || !f.admits(e) {
-		return into
+	e := s.table.entry(name)
+	isPresent := slices.ContainsFunc(candidates, func(c candidate) bool { return c.entry == e })
+	if isPresent || e.upstream.Pool != s.query.Pool || !f.admits(e) {
+		return candidates
 	}
 
-	return append(into, w.candidate(e))
+	return append(candidates, s.newCandidate(e))
 }
 
-func (w *weighing) candidate(e *entry) candidate {
-	now := w.query.Now
-	slots := float64(e.slots(w.table.settings))
-	ahead := float64(e.inFlight) + e.othersNow(now, w.limit)
-	slowness := e.slownessNow(w.times, now)
+func (s *candidateScorer) newCandidate(e *entry) candidate {
+	now := s.query.Now
+	slots := float64(e.slots(s.table.settings))
+	ahead := float64(e.inFlight) + e.othersInFlightAt(now, s.reportAgeLimit)
+	slowness := e.slownessAt(s.times, now)
 	c := candidate{entry: e, occupancy: ahead / slots}
-	service := w.service * slowness
-	if len(w.query.Blocks) > 0 {
-		c.cached = float64(e.cache.held(w.query.Blocks)) * e.cache.belief()
-		prefill := w.table.settings.Pools[w.query.Pool].PrefillShare
-		service *= 1 - prefill*c.cached/float64(len(w.query.Blocks))
-	}
-	waiting := max(0, ahead+1-slots) / slots * w.work * slowness
-	c.expected = time.Duration(waiting + service)
-	c.rank = waiting + service*(1+busySlope*min(c.occupancy, 1))
+	serviceTime := s.serviceTime * slowness
+	if len(s.query.Blocks) > 0 {
+		c.cachedBlocks = float64(e.cache.countCachedBlocks(s.query.Blocks)) * e.cache.belief()
+		prefill := s.table.settings.Pools[s.query.Pool].PrefillShare
+		serviceTime *= 1 - prefill*c.cachedBlocks/float64(len(s.query.Blocks))
+	}
+	waitTime := max(0, ahead+1-slots) / slots * s.meanCallTime * slowness
+	c.expectedDuration = time.Duration(waitTime + serviceTime)
+	c.cost = waitTime + serviceTime*(1+busyPenalty*min(c.occupancy, 1))
 	// Only matters when all are set aside: what failed is then worse than what is slow.
-	if e.aside.waiting(now) && e.aside.reason != AsideSlow {
-		c.rank += float64(e.aside.until.Sub(now))
+	if e.suspension.isBackingOff(now) && e.suspension.reason != SuspendedSlow {
+		c.cost += float64(e.suspension.until.Sub(now))
 	}
 
 	return c
 }
 
-func (w *weighing) choice(c candidate) Choice {
-	return Choice{Upstream: c.entry.upstream, Expected: c.expected, CachedBlocks: int(c.cached)}
+func (s *candidateScorer) newChoice(c candidate) Choice {
+	return Choice{Upstream: c.entry.upstream, ExpectedDuration: c.expectedDuration, CachedBlocks: int(c.cachedBlocks)}
 }
 
 // pick compares two random cold candidates and the one with the most cached blocks.
-func pick(sample []candidate, random func(n int) int) candidate {
+func pickCandidate(sample []candidate, random func(n int) int) candidate {
 	cold := withoutHot(sample)
 	if len(cold) == 1 {
 		return cold[0]
@@ -160,16 +160,16 @@
 		second++
 	}
 	best := cold[first]
-	if cold[second].rank < best.rank {
+	if cold[second].cost < best.cost {
 		best = cold[second]
 	}
 	holder := cold[0]
 	for _, c := range cold[1:] {
-		if c.cached > holder.cached {
+		if c.cachedBlocks > holder.cachedBlocks {
 			holder = c
 		}
 	}
-	if holder.cached > 0 && holder.rank < best.rank {
+	if holder.cachedBlocks > 0 && holder.cost < best.cost {
 		best = holder
 	}
 
@@ -178,8 +178,8 @@
 
 // withoutHot drops the candidates with the most work in place; at least one stays.
 func withoutHot(sample []candidate) []candidate {
-	var room [maxSample + 1]float64
-	occupancies := room[:0]
+	var buffer [maxSample + 1]float64
+	occupancies := buffer[:0]
 	for _, c := range sample {
 		occupancies = append(occupancies, c.occupancy)
 	}
@@ -189,10 +189,10 @@
 	return slices.DeleteFunc(sample, func(c candidate) bool { return c.occupancy > limit })
 }
 
-func leastRank(sample []candidate) candidate {
+func lowestCost(sample []candidate) candidate {
 	best := sample[0]
 	for _, c := range sample[1:] {
-		if c.rank < best.rank {
+		if c.cost < best.cost {
 			best = c
 		}
 	}
@@ -201,28 +201,28 @@
 }
 
 // visit walks the numbers below n once each, from a random start by a random stride.
-type visit struct {
-	n, at, stride, left int
+type randomOrder struct {
+	n, position, stride, remaining int
 }
 
-func newVisit(n int, random func(n int) int) visit {
+func newRandomOrder(n int, random func(n int) int) randomOrder {
 	if n < 2 {
-		return visit{n: max(n, 1), left: n}
+		return randomOrder{n: max(n, 1), remaining: n}
 	}
 	stride := 1 + random(n-1)
 	for gcd(stride, n) != 1 {
 		stride = 1 + stride%(n-1)
 	}
 
-	return visit{n: n, at: random(n), stride: stride, left: n}
+	return randomOrder{n: n, position: random(n), stride: stride, remaining: n}
 }
 
-func (v *visit) next() int {
-	at := v.at
-	v.at = (v.at + v.stride) % v.n
-	v.left--
+func (o *randomOrder) next() int {
+	position := o.position
+	o.position = (o.position + o.stride) % o.n
+	o.remaining--
 
-	return at
+	return position
 }
 
 func gcd(a, b int) int {
--- a/internal/chuterouting/table_test.go
+++ b/internal/chuterouting/table_test.go
@@ -16,34 +16,34 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func after(span time.Duration) time.Time {
-	return start.Add(span)
+func startPlus(duration time.Duration) time.Time {
+	return start.Add(duration)
 }
 
-func seeded(seed uint64) func(n int) int {
+func seededRandom(seed uint64) func(n int) int {
 	return rand.New(rand.NewPCG(seed, seed)).IntN
 }
 
 // testList names n upstreams of pool "p" in zone "a", incarnation "1".
-func testList(n int) []Listed {
-	list := make([]Listed, n)
+func testList(n int) []ListedUpstream {
+	list := make([]ListedUpstream, n)
 	for i := range list {
-		list[i] = Listed{Name: fmt.Sprint("u", i), Address: fmt.Sprint("127.0.0.1:", i), Zone: "a", Pool: "p", Incarnation: "1"}
+		list[i] = ListedUpstream{Name: fmt.Sprint("u", i), Address: fmt.Sprint("127.0.0.1:", i), Zone: "a", Pool: "p", Incarnation: "1"}
 	}
 
 	return list
 }
 
 func testTable(n int) Table {
-	pools := map[string]PoolSettings{"p": {Slots: 8, Typical: 100 * time.Millisecond, PrefillShare: 0.5}}
+	pools := map[string]PoolSettings{"p": {Slots: 8, TypicalServiceTime: 100 * time.Millisecond, PrefillShare: 0.5}}
 
-	return NewTable(Settings{OwnZone: "a", ReportAgeLimit: 5 * time.Second, Pools: pools}).WithList(testList(n), start)
+	return NewTable(Settings{OwnZone: "a", ReportAgeLimit: 5 * time.Second, Pools: pools}).WithListedUpstreams(testList(n), start)
 }
 
 // chosen counts how often each upstream is picked in 200 independent choices.
-func chosen(t Table, q Query) map[string]int {
+func countChoices(t Table, q Query) map[string]int {
 	counts := map[string]int{}
-	random := seeded(1)
+	random := seededRandom(1)
 	for range 200 {
 		if choice, ok := t.Choose(q, random); ok {
 			counts[choice.Upstream.Name]++
@@ -54,38 +54,38 @@
 }
 
 // expectOnly fails unless exactly the named upstreams are ever picked.
-func expectOnly(c *qt.C, t Table, now time.Time, names ...string) {
+func expectChosen(c *qt.C, t Table, now time.Time, names ...string) {
 	c.Helper()
 	var got []string
-	for name := range chosen(t, Query{Pool: "p", Stage: "s", Now: now}) {
+	for name := range countChoices(t, Query{Pool: "p", Stage: "s", Now: now}) {
 		got = append(got, name)
 	}
 	slices.Sort(got)
 	c.Assert(got, qt.DeepEquals, names)
 }
 
-func failed(kind chuterequest.FailureKind) chuterequest.Failure {
+func failureOf(kind chuterequest.FailureKind) chuterequest.Failure {
 	return chuterequest.Failure{Kind: kind}
 }
 
 func TestZones(t *testing.T) {
 	list := testList(3)
 	list[2].Zone = "b"
-	table := testTable(0).WithList(list, start)
+	table := testTable(0).WithListedUpstreams(list, start)
 
 	t.Run("own zone first", func(t *testing.T) {
-		expectOnly(qt.New(t), table, start, "u0", "u1")
+		expectChosen(qt.New(t), table, start, "u0", "u1")
 	})
 	t.Run("another zone once the own has none usable", func(t *testing.T) {
-		table := table.WithLeaving("u0", "1").WithFailed("u1", failed(chuterequest.FailureUnreachable), start)
-		expectOnly(qt.New(t), table, start, "u2")
+		table := table.WithLeaving("u0", "1").WithFailed("u1", failureOf(chuterequest.FailureUnreachable), start)
+		expectChosen(qt.New(t), table, start, "u2")
 	})
 	t.Run("round robin takes listed ones in turn whatever was measured", func(t *testing.T) {
 		c := qt.New(t)
 		table := table.WithSettings(Settings{OwnZone: "a", Balancing: chuteconfig.BalancingRoundRobin})
-		table = table.WithFailed("u0", failed(chuterequest.FailureCrossed), start)
+		table = table.WithFailed("u0", failureOf(chuterequest.FailureCrossed), start)
 		for _, want := range []string{"u0", "u1", "u0"} {
-			choice, _ := table.Choose(Query{Pool: "p", Now: start}, seeded(1))
+			choice, _ := table.Choose(Query{Pool: "p", Now: start}, seededRandom(1))
 			c.Assert(choice.Upstream.Name, qt.Equals, want)
 			table = table.WithDispatched(want, start)
 		}
@@ -104,9 +104,9 @@
 			for i := range 8 {
 				table = table.WithReport(fmt.Sprint("u", i), chuterequest.Load{InFlight: min(i, 1) * 4, Slots: 8}, start)
 			}
-			random := seeded(uint64(node))
+			random := seededRandom(uint64(node))
 			for range 4 {
-				choice, _ := table.Choose(Query{Pool: "p", Now: after(time.Second)}, random)
+				choice, _ := table.Choose(Query{Pool: "p", Now: startPlus(time.Second)}, random)
 				table = table.WithDispatched(choice.Upstream.Name, start)
 				counts[choice.Upstream.Name]++
 			}
@@ -117,20 +117,20 @@
 	t.Run("a report is believed less as it ages", func(t *testing.T) {
 		c := qt.New(t)
 		table := testTable(1).WithReport("u0", chuterequest.Load{InFlight: 8, Slots: 8}, start)
-		free := func(span time.Duration) int { return table.Free(Query{Pool: "p", Now: after(span)}) }
+		free := func(span time.Duration) int { return table.FreeSlots(Query{Pool: "p", Now: startPlus(span)}) }
 		c.Assert([]int{free(0), free(2500 * time.Millisecond), free(5 * time.Second)}, qt.DeepEquals, []int{0, 4, 8})
 	})
 	t.Run("own calls count at once", func(t *testing.T) {
 		c := qt.New(t)
 		table := testTable(2).WithReport("u0", chuterequest.Load{Slots: 2}, start)
 		table = table.WithDispatched("u0", start).WithDispatched("u0", start)
-		expectOnly(c, table, start, "u1")
+		expectChosen(c, table, start, "u1")
 	})
 	t.Run("a late old report changes nothing", func(t *testing.T) {
 		c := qt.New(t)
-		table := testTable(1).WithReport("u0", chuterequest.Load{InFlight: 1, Slots: 8}, after(time.Second))
+		table := testTable(1).WithReport("u0", chuterequest.Load{InFlight: 1, Slots: 8}, startPlus(time.Second))
 		late := table.WithReport("u0", chuterequest.Load{InFlight: 8, Slots: 8}, start)
-		c.Assert(late.All(), qt.DeepEquals, table.All())
+		c.Assert(late.UpstreamViews(), qt.DeepEquals, table.UpstreamViews())
 	})
 }
 
@@ -139,79 +139,79 @@
 	// a while: calls sent there would be cut off. Only a new process is welcome.
 	c := qt.New(t)
 	table := testTable(2).WithReport("u0", chuterequest.Load{Incarnation: "1", Leaving: true}, start)
-	expectOnly(c, table, start, "u1")
-	table = table.WithReport("u0", chuterequest.Load{Incarnation: "1"}, after(time.Second)).WithList(testList(2), after(time.Second))
-	expectOnly(c, table, after(time.Second), "u1")
-	c.Assert(table.Leaving(), qt.DeepEquals, []LeavingMark{{Name: "u0", Incarnation: "1"}})
+	expectChosen(c, table, start, "u1")
+	table = table.WithReport("u0", chuterequest.Load{Incarnation: "1"}, startPlus(time.Second)).WithListedUpstreams(testList(2), startPlus(time.Second))
+	expectChosen(c, table, startPlus(time.Second), "u1")
+	c.Assert(table.LeavingMarks(), qt.DeepEquals, []LeavingMark{{Name: "u0", Incarnation: "1"}})
 
-	renewed := table.WithReport("u0", chuterequest.Load{Incarnation: "2"}, after(2*time.Second))
-	expectOnly(c, renewed, after(2*time.Second), "u0", "u1")
+	renewed := table.WithReport("u0", chuterequest.Load{Incarnation: "2"}, startPlus(2*time.Second))
+	expectChosen(c, renewed, startPlus(2*time.Second), "u0", "u1")
 	stale := testList(2)
 	stale[0].Leaving = true
-	expectOnly(c, renewed.WithList(stale, after(3*time.Second)), after(3*time.Second), "u0", "u1")
+	expectChosen(c, renewed.WithListedUpstreams(stale, startPlus(3*time.Second)), startPlus(3*time.Second), "u0", "u1")
 
 	// A list that uses other names for incarnations than the upstream is obeyed.
-	named := testTable(2).WithReport("u0", chuterequest.Load{Incarnation: "pid-9"}, start).WithList(stale, start)
-	expectOnly(c, named, start, "u1")
+	named := testTable(2).WithReport("u0", chuterequest.Load{Incarnation: "pid-9"}, start).WithListedUpstreams(stale, start)
+	expectChosen(c, named, start, "u1")
 	// A peer's word may come before the list has named the upstream at all.
-	early := testTable(0).WithLeaving("u0", "1").WithList(testList(2), start)
-	expectOnly(c, early, start, "u1")
+	early := testTable(0).WithLeaving("u0", "1").WithListedUpstreams(testList(2), start)
+	expectChosen(c, early, start, "u1")
 }
 
-func TestAbsentFromList(t *testing.T) {
+func TestUnlistedUpstream(t *testing.T) {
 	c := qt.New(t)
 	table := testTable(2).WithReport("u0", chuterequest.Load{Slots: 8}, start)
-	table = table.WithList(testList(2)[1:], after(time.Second))
-	expectOnly(c, table, after(2*time.Second), "u0", "u1")
-	expectOnly(c, table, after(6*time.Second), "u1")
-	c.Assert(table.WithList(testList(2)[1:], after(6*time.Second)).All(), qt.HasLen, 1)
+	table = table.WithListedUpstreams(testList(2)[1:], startPlus(time.Second))
+	expectChosen(c, table, startPlus(2*time.Second), "u0", "u1")
+	expectChosen(c, table, startPlus(6*time.Second), "u1")
+	c.Assert(table.WithListedUpstreams(testList(2)[1:], startPlus(6*time.Second)).UpstreamViews(), qt.HasLen, 1)
 }
 
 // TestAnyHistory drives random events and checks what must hold after each of them.
-func TestAnyHistory(t *testing.T) {
+func TestRandomEvents(t *testing.T) {
 	kinds := []chuterequest.FailureKind{
 		chuterequest.FailureErrored, chuterequest.FailureBroken, chuterequest.FailureUnreachable,
 		chuterequest.FailureCrossed, chuterequest.FailureRefused, chuterequest.FailureCancelled,
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		table, now := testTable(4), start
-		gone := map[string]bool{}
+		markedLeaving := map[string]bool{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			name := fmt.Sprint("u", rapid.IntRange(0, 4).Draw(t, "name"))
-			before, seen := table, fmt.Sprint(table.All())
+			before, seen := table, fmt.Sprint(table.UpstreamViews())
 			switch rapid.IntRange(0, 6).Draw(t, "event") {
 			case 0:
 				table = table.WithDispatched(name, now)
 			case 1:
 				table = table.WithFinished(name, "s", time.Duration(rapid.IntRange(0, 5000).Draw(t, "took"))*time.Millisecond, 5, now)
 			case 2:
-				table = table.WithFailed(name, failed(rapid.SampledFrom(kinds).Draw(t, "kind")), now)
+				table = table.WithFailed(name, failureOf(rapid.SampledFrom(kinds).Draw(t, "kind")), now)
 			case 3:
 				table = table.WithReport(name, chuterequest.Load{Incarnation: "1", InFlight: rapid.IntRange(0, 20).Draw(t, "load"), Slots: 8}, now)
 			case 4:
-				table = table.WithList(testList(4), now)
+				table = table.WithListedUpstreams(testList(4), now)
 			case 5:
 				table = table.WithReleased(name, now)
 			default:
 				table = table.WithLeaving(name, "1")
-				gone[name] = true
+				markedLeaving[name] = true
 			}
-			expect(t, fmt.Sprint(before.All()) == seen, "an earlier table changed")
+			require(t, fmt.Sprint(before.UpstreamViews()) == seen, "an earlier table changed")
 			q := Query{Pool: "p", Stage: "s", Exclude: []string{"u0"}, Now: now}
-			choice, ok := table.Choose(q, seeded(uint64(now.UnixNano())))
-			expect(t, ok == (table.Candidates(q) > 0), "Choose and Candidates differ")
-			expect(t, ok == (!gone["u1"] || !gone["u2"] || !gone["u3"]), "a usable upstream was not found")
-			expect(t, !gone[choice.Upstream.Name] && choice.Upstream.Name != "u0", "chose %s", choice.Upstream.Name)
-			expect(t, choice.Expected >= 0 && table.Free(q) >= 0, "negative")
-			expect(t, table.HasFree(q) == (table.Free(q) > 0), "HasFree and Free differ")
+			choice, ok := table.Choose(q, seededRandom(uint64(now.UnixNano())))
+			require(t, ok == (table.CountCandidates(q) > 0), "Choose and Candidates differ")
+			require(t, ok == (!markedLeaving["u1"] || !markedLeaving["u2"] || !markedLeaving["u3"]), "a usable upstream was not found")
+			require(t, !markedLeaving[choice.Upstream.Name] && choice.Upstream.Name != "u0", "chose %s", choice.Upstream.Name)
+			require(t, choice.ExpectedDuration >= 0 && table.FreeSlots(q) >= 0, "negative")
+			require(t, table.HasFreeSlot(q) == (table.FreeSlots(q) > 0), "HasFree and Free differ")
 		}
 	})
 }
 
-func expect(t *rapid.T, holds bool, format string, args ...any) {
+func require(t *rapid.T, condition bool, format string, args ...any) {
 	t.Helper()
-	if !holds {
+	if !condition {
 		t.Fatalf(format, args...)
 	}
 }
