--- a/internal/chuterouting/blockmap.go
+++ b/internal/chuterouting/blockmap.go
@@ -3,31 +3,36 @@
 import "slices"
 
 const (
-	// assocBuckets times assocWays bounds the blocks that one assoc holds.
+	// blockMapBuckets times blockMapWays is the maximum number of blocks in one blockMap.
 	blockMapBuckets = 256
 	blockMapWays    = 16
 )
 
-// assoc is an immutable set-associative map from block hashes with room for a fixed number of them.
+// blockMap is an immutable set-associative map from block hashes, with a fixed capacity.
 //
-// Each block belongs to one small bucket, latest first; a full bucket loses its
-// oldest block. That bounds memory exactly, and a change copies a few small
-// arrays instead of the paths of a general map.
+// Each block belongs to one small bucket, which is ordered from the most recently put
+// block to the oldest; a full bucket evicts its oldest block. This bounds memory
+// exactly, and a change copies a few small arrays instead of the tree paths of a general
+// persistent map.
 type blockMap[V comparable] struct {
 	buckets []*blockBucket[V]
 	size    int
 }
 
+// blockBucket holds the blocks of one bucket, the most recently put first.
 type blockBucket[V comparable] struct {
 	used  int
 	slots [blockMapWays]blockSlot[V]
 }
 
+// blockSlot holds one block hash and its value.
 type blockSlot[V comparable] struct {
 	block uint64
 	value V
 }
 
+// indexOf returns the index of the block's slot, or -1 if the bucket does not contain
+// it.
 func (b *blockBucket[V]) indexOf(block uint64) int {
 	for i := range b.used {
 		if b.slots[i].block == block {
@@ -38,7 +43,8 @@
 	return -1
 }
 
-// put moves the block to the front; it returns whether the block is new and the bucket had room.
+// put stores the block in the first slot and reports whether the number of blocks grew:
+// the block is new and the bucket was not full.
 func (b *blockBucket[V]) put(block uint64, value V) bool {
 	index := b.indexOf(block)
 	hasGrown := index < 0 && b.used < blockMapWays
@@ -55,12 +61,14 @@
 	return hasGrown
 }
 
+// remove deletes the slot at index.
 func (b *blockBucket[V]) remove(index int) {
 	copy(b.slots[index:b.used], b.slots[index+1:b.used])
 	b.used--
 	b.slots[b.used] = blockSlot[V]{}
 }
 
+// get returns the block's value and whether the map contains the block.
 func (a blockMap[V]) get(block uint64) (V, bool) {
 	if a.buckets != nil {
 		if bucket := a.buckets[block%blockMapBuckets]; bucket != nil {
@@ -74,7 +82,7 @@
 	return none, false
 }
 
-// with returns the map with value for all the blocks.
+// withBlocks returns a copy of the map in which all the blocks have the value.
 func (a blockMap[V]) withBlocks(blocks []uint64, value V) blockMap[V] {
 	edit := blockMapEdit[V]{blocks: a}
 	for _, block := range blocks {
@@ -84,16 +92,17 @@
 	return edit.blocks
 }
 
-// assocEdit collects changes so that each array is copied at most once.
+// blockMapEdit collects changes to a blockMap so that each array is copied at most once.
 type blockMapEdit[V comparable] struct {
 	blocks        blockMap[V]
 	bucketsCopied bool
 	bucketCopied  [blockMapBuckets]bool
 }
 
+// put stores the block's value.
 func (e *blockMapEdit[V]) put(block uint64, value V) {
-	// A block that is still among the younger half need not move: most prompts
-	// repeat blocks that were put there moments ago.
+	// A block in the newer half of its bucket is not moved to the front, because
+	// most prompts repeat blocks that were put there recently.
 	if e.blocks.buckets != nil {
 		if bucket := e.blocks.buckets[block%blockMapBuckets]; bucket != nil {
 			index := bucket.indexOf(block)
@@ -107,6 +116,7 @@
 	}
 }
 
+// remove deletes the block; it has no effect if the map does not contain it.
 func (e *blockMapEdit[V]) remove(block uint64) {
 	if _, ok := e.blocks.get(block); !ok {
 		return
@@ -116,7 +126,7 @@
 	e.blocks.size--
 }
 
-// own returns the block's bucket as a copy that this edit may change.
+// writableBucket returns the block's bucket as a copy that belongs to this edit.
 func (e *blockMapEdit[V]) writableBucket(block uint64) *blockBucket[V] {
 	if !e.bucketsCopied {
 		e.bucketsCopied = true
--- a/internal/chuterouting/choose.go
+++ b/internal/chuterouting/choose.go
@@ -8,33 +8,36 @@
 )
 
 const (
-	// maxSample bounds the candidates that are weighed for one call.
+	// maxSample is the maximum number of candidates sampled for one call.
 	maxSample = 16
-	// hotQuantile is the part of the sample that is not hot.
+	// hotQuantile is the quantile of the sample's occupancy above which a candidate is
+	// hot.
 	hotQuantile = 0.75
-	// hotOccupancy is the part of the slots in use below which no upstream counts as hot.
+	// hotOccupancy is the occupancy up to which no candidate is hot.
 	hotOccupancy = 0.75
-	// busySlope is how much longer, as a part of the service time, a call is ranked
-	// to take in a full upstream than in an empty one: engines slow down as their
-	// batch grows. It breaks ties between upstreams that both have a free slot.
+	// busyPenalty is the share of the service time that the cost of a call grows by from
+	// an empty upstream to a full one, because engines slow down as their batch grows. It
+	// breaks ties between upstreams that both have a free slot.
 	busyPenalty = 0.3
 )
 
-// candidate is an upstream with what one query expects of it.
+// candidate is an upstream with its estimates for one query.
 type candidate struct {
 	entry            *entry
 	occupancy        float64
 	expectedDuration time.Duration
-	// rank is what candidates are compared by, in nanoseconds.
+	// cost is the value by which candidates are compared, in nanoseconds; lower is
+	// better.
 	cost         float64
 	cachedBlocks float64
 }
 
-// Choose picks the upstream for a call, or reports false when there is none; random(n) returns a number in [0,n).
+// Choose returns the upstream for a call, or false if there is none. random(n) returns a
+// number in [0,n).
 //
-// Of a random sample the hot ones are left out, then two random ones and the one
-// with the longest cached prefix are compared by expected finish. Taking the best
-// of all instead would send every node with the same stale reports to the same
+// It takes a random sample, removes the hot candidates, and compares two random ones and
+// the one with the longest cached prefix by cost. Always taking the best of
+// all would send the calls of every node with the same stale reports to the same
 // upstream.
 func (t Table) Choose(q Query, random func(n int) int) (Choice, bool) {
 	group := t.group(q.Pool)
@@ -67,18 +70,20 @@
 	return Choice{}, false
 }
 
-// weighing is what the candidates of one query have in common.
+// candidateScorer holds what the candidates of one query have in common.
 type candidateScorer struct {
 	table          Table
 	query          *Query
 	times          *poolTimes
 	reportAgeLimit time.Duration
-	// service and work are the usual times of this call and of those already there, in nanoseconds.
+	// serviceTime is the usual time of the query's call, and meanCallTime that of the
+	// calls already at the upstream, in nanoseconds.
 	serviceTime  float64
 	meanCallTime float64
 }
 
-// sample weighs up to maxSample random members of the tier, and the likely holder of the prompt's prefix.
+// sampleCandidates appends up to maxSample random upstreams of the tier, and the likely
+// holder of the prompt's prefix.
 func (s *candidateScorer) sampleCandidates(group *poolGroup, f *filter, random func(n int) int, candidates []candidate) []candidate {
 	isTruncated := false
 	for _, part := range group.tierEntries(f.tier) {
@@ -102,7 +107,8 @@
 	return candidates
 }
 
-// withHolder adds the upstream that is believed to hold the prompt's prefix, unless it is in the sample.
+// withCacheHolder appends the upstream that probably has the prompt's prefix cached,
+// unless it is already in the sample.
 func (s *candidateScorer) withCacheHolder(f *filter, candidates []candidate) []candidate {
 	name, ok := s.table.cacheHolder(s.query.Blocks)
 	if !ok {
@@ -121,6 +127,7 @@
 	return append(candidates, s.newCandidate(e))
 }
 
+// newCandidate estimates the duration and the cost of the query's call at the upstream.
 func (s *candidateScorer) newCandidate(e *entry) candidate {
 	now := s.query.Now
 	slots := float64(e.slots(s.table.settings))
@@ -136,7 +143,8 @@
 	waitTime := max(0, ahead+1-slots) / slots * s.meanCallTime * slowness
 	c.expectedDuration = time.Duration(waitTime + serviceTime)
 	c.cost = waitTime + serviceTime*(1+busyPenalty*min(c.occupancy, 1))
-	// Only matters when all are set aside: what failed is then worse than what is slow.
+	// This matters only when all upstreams are suspended: one that failed or refused then
+	// costs more than one that is slow.
 	if e.suspension.isBackingOff(now) && e.suspension.reason != SuspendedSlow {
 		c.cost += float64(e.suspension.until.Sub(now))
 	}
@@ -148,7 +156,8 @@
 	return Choice{Upstream: c.entry.upstream, ExpectedDuration: c.expectedDuration, CachedBlocks: int(c.cachedBlocks)}
 }
 
-// pick compares two random cold candidates and the one with the most cached blocks.
+// pickCandidate returns the candidate with the lowest cost among two random ones that
+// are not hot and the one with the most cached blocks.
 func pickCandidate(sample []candidate, random func(n int) int) candidate {
 	cold := withoutHot(sample)
 	if len(cold) == 1 {
@@ -176,7 +185,7 @@
 	return best
 }
 
-// withoutHot drops the candidates with the most work in place; at least one stays.
+// withoutHot removes the candidates with the highest occupancy; at least one remains.
 func withoutHot(sample []candidate) []candidate {
 	var buffer [maxSample + 1]float64
 	occupancies := buffer[:0]
@@ -189,6 +198,7 @@
 	return slices.DeleteFunc(sample, func(c candidate) bool { return c.occupancy > limit })
 }
 
+// lowestCost returns the candidate with the lowest cost.
 func lowestCost(sample []candidate) candidate {
 	best := sample[0]
 	for _, c := range sample[1:] {
@@ -200,7 +210,8 @@
 	return best
 }
 
-// visit walks the numbers below n once each, from a random start by a random stride.
+// randomOrder visits each of the numbers 0 to n-1 once, from a random start with a
+// random stride that is coprime to n.
 type randomOrder struct {
 	n, position, stride, remaining int
 }
--- a/internal/chuterouting/suspension.go
+++ b/internal/chuterouting/suspension.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// asideThreshold is the weight of failures at which an upstream is set aside.
+	// suspendThreshold is the failure score at which an upstream is suspended.
 	suspendThreshold = 3
 	failingBackoff   = 250 * time.Millisecond
 	crossedBackoff   = 5 * time.Second
 	refusedBackoff   = 100 * time.Millisecond
 	slowBackoff      = time.Second
 	maxBackoff       = 30 * time.Second
-	// forgiveAfter is the run of successes that makes the back-off start anew.
+	// successesToResetBackoff is the number of successes in a row after which the next
+	// back-off starts at its base again.
 	successesToResetBackoff = 10
 )
 
-// failureWeights says how strongly one failure speaks against an upstream.
+// failureWeights maps a kind of failure to what one such failure adds to the failure
+// score.
 //
-// An error may be the input's fault and a broken connection may be the
-// network's, so one of them alone does not cost an upstream its traffic.
-// Unreachable and stalled cost each caller a whole timeout, and a crossed answer
-// means that the upstream mixes up its callers: one is enough.
+// An error may be caused by the input, and a broken connection by the network, so a
+// single one does not suspend an upstream. An unreachable or stalled upstream costs each
+// caller a whole timeout, and a crossed answer means that the upstream mixes up its
+// callers, so a single one of these suspends it.
 var failureWeights = map[chuterequest.FailureKind]int{
 	chuterequest.FailureErrored:     1,
 	chuterequest.FailureMalformed:   2,
@@ -33,45 +35,50 @@
 	chuterequest.FailureCrossed:     2 * suspendThreshold,
 }
 
-// aside is the evidence against an upstream and what follows from it.
+// suspension holds the failures of an upstream and its state as a circuit breaker.
 //
-// Until the back-off ends the upstream is not chosen; after it the upstream is
-// on trial: it gets one call at a time, whose outcome decides. One that refused
-// has only said that it is full, and needs no trial.
+// Until the back-off ends, the upstream is not chosen. After it, the upstream is
+// half-open: it gets one trial call at a time, whose result ends or renews the
+// suspension. An upstream that refused a call only reported that it is full; it returns
+// to service without a trial.
 type suspension struct {
 	reason SuspensionReason
 	until  time.Time
-	// count is how often it was set aside without a run of successes in between.
+	// consecutive counts the suspensions since the last successesToResetBackoff successes
+	// in a row.
 	consecutive     int
 	failureScore    int
 	successesInARow int
-	// probing says that the call of a trial is in flight.
+	// trialInFlight is true while a trial call to the half-open upstream is in flight.
 	trialInFlight bool
 }
 
+// isBackingOff reports whether the upstream is suspended and its back-off has not ended.
 func (s suspension) isBackingOff(now time.Time) bool {
 	return s.reason != NotSuspended && now.Before(s.until)
 }
 
+// isHalfOpen reports whether the back-off has ended and a trial call decides what
+// follows.
 func (s suspension) isHalfOpen(now time.Time) bool {
 	return (s.reason == SuspendedFailing || s.reason == SuspendedSlow) && !now.Before(s.until)
 }
 
-// free says whether the upstream is in full service.
+// isInService reports whether the upstream may get calls without restriction.
 func (s suspension) isInService(now time.Time) bool {
 	return s.reason == NotSuspended || s.reason == SuspendedRefused && !now.Before(s.until)
 }
 
-// dispatched notes that a call went there.
+// recordDispatch records that a call was dispatched to the upstream.
 func (s *suspension) recordDispatch(now time.Time) {
 	s.trialInFlight = s.isHalfOpen(now)
 }
 
-// set begins or lengthens the back-off.
+// suspend starts the next back-off, unless one is running.
 func (s *suspension) suspend(reason SuspensionReason, base time.Duration, now time.Time) {
-	// One process that dies breaks all its calls at once. Counting each would
-	// drive the back-off to its longest for a single incident, so failures within
-	// the back-off change nothing.
+	// A process that ends breaks all its calls at once. Counting each of them would raise
+	// the back-off to its maximum for a single incident, so failures during the back-off
+	// do not extend it.
 	if s.isBackingOff(now) {
 		return
 	}
@@ -81,6 +88,8 @@
 	s.until = now.Add(backoffDuration(base, s.consecutive))
 }
 
+// recordFailure adds a failure to the score and suspends the upstream at
+// suspendThreshold. While the upstream is half-open, every failure suspends it again.
 func (s *suspension) recordFailure(kind chuterequest.FailureKind, now time.Time) {
 	weight := failureWeights[kind]
 	s.successesInARow = 0
@@ -98,7 +107,8 @@
 	s.suspend(SuspendedFailing, base, now)
 }
 
-// refused obeys the upstream's own word on when to come back, up to the longest back-off.
+// recordRefusal suspends the upstream for at least the retry time that it asked for,
+// which is limited to maxBackoff.
 func (s *suspension) recordRefusal(retryAfter time.Duration, now time.Time) {
 	s.suspend(SuspendedRefused, refusedBackoff, now)
 	if requested := now.Add(min(retryAfter, maxBackoff)); requested.After(s.until) {
@@ -106,20 +116,24 @@
 	}
 }
 
+// recordSuccess lowers the failure score and, unless the upstream is suspended as slow,
+// ends a suspension whose back-off has ended.
 func (s *suspension) recordSuccess(now time.Time) {
 	s.failureScore = max(0, s.failureScore-1)
 	s.successesInARow++
 	if s.successesInARow >= successesToResetBackoff {
 		s.consecutive = 0
 	}
-	// A call from before the failure may still end well; that does not show that
-	// the failure is over, so only a trial brings the upstream back.
+	// A call that was dispatched before the failure may still succeed. That does not show
+	// that the failure is over, so success ends a suspension only after its back-off. A
+	// slow upstream returns only if the trial call was fast enough (learnSlowness).
 	if s.reason != SuspendedSlow {
 		s.resumeAfterBackoff(now)
 	}
 }
 
-// returned ends a back-off whose time is over, after a call that went well.
+// resumeAfterBackoff ends a suspension whose back-off has ended; it has no effect
+// before.
 func (s *suspension) resumeAfterBackoff(now time.Time) {
 	if s.reason == NotSuspended || s.isBackingOff(now) {
 		return
@@ -129,7 +143,8 @@
 	s.failureScore = 0
 }
 
-// backoff doubles with each time in a row, up to maxBackoff.
+// backoffDuration returns base, doubled for each further consecutive suspension, up to
+// maxBackoff.
 func backoffDuration(base time.Duration, consecutive int) time.Duration {
 	duration := base
 	for range consecutive - 1 {
--- a/internal/chuterouting/suspension_test.go
+++ b/internal/chuterouting/suspension_test.go
@@ -10,7 +10,8 @@
 	"azurechute.example/azurechute/internal/chuterequest"
 )
 
-// serve runs calls, one every 10 ms and 16 at a time at most, to their ends; it returns how many each upstream got.
+// runCalls runs that many calls to their ends, starting at most one every 10 ms and with
+// at most 16 in flight. It returns how many each upstream got.
 func runCalls(t Table, startAt time.Time, calls int, serviceTimeOf func(name string) time.Duration) (Table, map[string]int, time.Time) {
 	type running struct {
 		name    string
@@ -45,8 +46,9 @@
 }
 
 func TestSlowUpstream(t *testing.T) {
-	// One of four upstreams becomes ten times slower but fails nothing. Without
-	// learning it keeps its share, and a quarter of the callers miss their deadline.
+	// One of four upstreams becomes ten times slower without failing calls. If its
+	// slowness is not learned, it keeps its share, and a quarter of the callers miss
+	// their deadline.
 	c := qt.New(t)
 	usualTime := func(string) time.Duration { return 100 * time.Millisecond }
 	slowTime := func(name string) time.Duration {
@@ -64,9 +66,10 @@
 	c.Assert(slowed["u0"] < 20, qt.IsTrue, qt.Commentf("%v", slowed))
 
 	_, later, _ := runCalls(table, now.Add(time.Minute), 400, usualTime)
-	c.Assert(later["u0"] > 40, qt.IsTrue, qt.Commentf("it was not tried again: %v", later))
+	c.Assert(later["u0"] > 40, qt.IsTrue, qt.Commentf("u0 got too few calls after it recovered: %v", later))
 
-	// The whole pool slows down: that is load, and setting all aside would help nobody.
+	// The whole pool slows down. The cause is load, and suspending all upstreams would
+	// not help.
 	table, _, now = runCalls(testTable(4), start, 100, usualTime)
 	table, _, _ = runCalls(table, now, 32, func(string) time.Duration { return time.Second })
 	for _, u := range table.UpstreamViews() {
@@ -75,8 +78,8 @@
 }
 
 func TestLearnedSlowness(t *testing.T) {
-	// Nothing runs anywhere and nothing is set aside: only the time that u0 took
-	// for earlier calls tells that the next caller would wait longer there.
+	// No call is in flight and no upstream is suspended: only the time of u0's earlier
+	// call shows that the next caller would wait longer there.
 	c := qt.New(t)
 	table, _, now := runCalls(testTable(4), start, 100, func(string) time.Duration { return 100 * time.Millisecond })
 	table = table.WithFinished("u0", "s", time.Second, 10, now)
@@ -86,12 +89,12 @@
 	q.Blocks = benchBlocks(1)
 	c.Assert(countChoices(table.WithCachedPrompt("u0", q.Blocks, 0), q)["u0"], qt.Equals, 0)
 	q = Query{Pool: "p", Stage: "s", Now: now.Add(slownessLifetime)}
-	c.Assert(countChoices(table, q)["u0"] > 25, qt.IsTrue, qt.Commentf("it was not tried again"))
+	c.Assert(countChoices(table, q)["u0"] > 25, qt.IsTrue, qt.Commentf("u0 got too few calls after its slowness expired"))
 }
 
 func TestFrozenUpstream(t *testing.T) {
-	// u0 freezes with one call: it neither fails nor finishes, so its learned time
-	// stays good. The silence alone has to tell before the stall timeout does.
+	// u0 freezes with one call in flight. The call neither fails nor finishes, so the
+	// learned slowness does not change. Silence must count before the stall timeout ends.
 	c := qt.New(t)
 	table, _, now := runCalls(testTable(2), start, 100, func(string) time.Duration { return 100 * time.Millisecond })
 	table = table.WithDispatched("u0", now).WithDispatched("u1", now.Add(800*time.Millisecond))
@@ -101,9 +104,10 @@
 
 func TestSuspension(t *testing.T) {
 	unreachable := failureOf(chuterequest.FailureUnreachable)
-	t.Run("set aside, tried with one call at a time, and back", func(t *testing.T) {
-		// u0 cannot be reached. Its callers would each lose a dial timeout, so it
-		// is left alone for a while; one call then finds out whether it is back.
+	t.Run("suspended, then one trial call at a time, then back in service", func(t *testing.T) {
+		// u0 cannot be reached, and each of its callers would wait for a dial timeout.
+		// It gets no calls during the back-off; then one trial call shows whether it
+		// can be reached again.
 		c := qt.New(t)
 		table := testTable(2).WithDispatched("u0", start).WithFailed("u0", unreachable, start)
 		expectChosen(c, table, startPlus(249*time.Millisecond), "u1")
@@ -123,7 +127,7 @@
 		back = back.WithDispatched("u0", trialAt).WithDispatched("u1", trialAt)
 		expectChosen(c, back, trialAt, "u0", "u1")
 	})
-	t.Run("one death that breaks many calls counts once", func(t *testing.T) {
+	t.Run("a process that ends and breaks many calls is suspended once", func(t *testing.T) {
 		table := testTable(2)
 		for range 20 {
 			table = table.WithDispatched("u0", start)
@@ -133,7 +137,7 @@
 		}
 		expectChosen(qt.New(t), table, startPlus(250*time.Millisecond), "u0", "u1")
 	})
-	t.Run("evidence weighs by kind", func(t *testing.T) {
+	t.Run("the kind of failure decides on a suspension", func(t *testing.T) {
 		for kind, want := range map[chuterequest.FailureKind]SuspensionReason{
 			chuterequest.FailureErrored:   NotSuspended,
 			chuterequest.FailureCancelled: NotSuspended,
@@ -148,7 +152,7 @@
 		crossed := testTable(2).WithFailed("u0", failureOf(chuterequest.FailureCrossed), start)
 		expectChosen(qt.New(t), crossed, startPlus(4*time.Second), "u1")
 	})
-	t.Run("the least bad is used rather than nothing", func(t *testing.T) {
+	t.Run("if all are suspended, the one with the lowest cost is used", func(t *testing.T) {
 		c := qt.New(t)
 		table := testTable(2).WithFailed("u0", failureOf(chuterequest.FailureCrossed), start).WithFailed("u1", unreachable, start)
 		expectChosen(c, table, start, "u1")
@@ -158,9 +162,9 @@
 	})
 }
 
-// A zone's own upstreams are full while another zone's are idle. Callers of that
-// zone's node would be turned away or wait; the idle ones take the next calls, and
-// the own zone is first again as soon as it has room.
+// The upstreams of the own zone are full while those of another zone are idle. Callers
+// of the own zone's node would be refused or wait, so the idle upstreams get the next
+// calls. The own zone is preferred again as soon as it has a free slot.
 func TestFullZoneSpillsToAnother(t *testing.T) {
 	now := benchStart
 	table := NewTable(Settings{OwnZone: "a", ReportAgeLimit: time.Minute, Pools: map[string]PoolSettings{"p": {Slots: 1}}}).
@@ -181,8 +185,8 @@
 	qt.Assert(t, choose(full.WithReleased("near", now)), qt.Equals, "near")
 }
 
-// All upstreams of a zone freeze. Polls go unanswered; after two in a row the
-// frozen one gets no call while another can be used, and a lost single poll costs nothing.
+// An upstream freezes and does not answer load polls. After two failed polls in a row it
+// gets no call while another upstream is usable; a single failed poll has no effect.
 func TestFailedPollsSuspend(t *testing.T) {
 	now := benchStart
 	table := NewTable(Settings{OwnZone: "a", ReportAgeLimit: time.Minute, Pools: map[string]PoolSettings{"p": {Slots: 4}}}).
--- a/internal/chuterouting/table_test.go
+++ b/internal/chuterouting/table_test.go
@@ -24,7 +24,7 @@
 	return rand.New(rand.NewPCG(seed, seed)).IntN
 }
 
-// testList names n upstreams of pool "p" in zone "a", incarnation "1".
+// testList lists n upstreams of pool "p" in zone "a", incarnation "1".
 func testList(n int) []ListedUpstream {
 	list := make([]ListedUpstream, n)
 	for i := range list {
@@ -40,7 +40,7 @@
 	return NewTable(Settings{OwnZone: "a", ReportAgeLimit: 5 * time.Second, Pools: pools}).WithListedUpstreams(testList(n), start)
 }
 
-// chosen counts how often each upstream is picked in 200 independent choices.
+// countChoices counts how often each upstream is chosen in 200 independent choices.
 func countChoices(t Table, q Query) map[string]int {
 	counts := map[string]int{}
 	random := seededRandom(1)
@@ -53,7 +53,7 @@
 	return counts
 }
 
-// expectOnly fails unless exactly the named upstreams are ever picked.
+// expectChosen fails unless exactly the named upstreams are among the choices.
 func expectChosen(c *qt.C, t Table, now time.Time, names ...string) {
 	c.Helper()
 	var got []string
@@ -76,11 +76,11 @@
 	t.Run("own zone first", func(t *testing.T) {
 		expectChosen(qt.New(t), table, start, "u0", "u1")
 	})
-	t.Run("another zone once the own has none usable", func(t *testing.T) {
+	t.Run("another zone if the own has no usable upstream", func(t *testing.T) {
 		table := table.WithLeaving("u0", "1").WithFailed("u1", failureOf(chuterequest.FailureUnreachable), start)
 		expectChosen(qt.New(t), table, start, "u2")
 	})
-	t.Run("round robin takes listed ones in turn whatever was measured", func(t *testing.T) {
+	t.Run("round robin rotates over listed upstreams and ignores failures", func(t *testing.T) {
 		c := qt.New(t)
 		table := table.WithSettings(Settings{OwnZone: "a", Balancing: chuteconfig.BalancingRoundRobin})
 		table = table.WithFailed("u0", failureOf(chuterequest.FailureCrossed), start)
@@ -93,10 +93,10 @@
 }
 
 func TestStaleReports(t *testing.T) {
-	// Nine nodes read the same reports: u0 idle, all others half full. No news
-	// comes while each hands over 4 calls. A rule that takes the best would put
-	// all 36 calls on u0 and its callers would wait behind each other.
-	t.Run("nine nodes do not run to one upstream", func(t *testing.T) {
+	// Nine nodes have the same reports: u0 is idle, all others are half full. No new
+	// report arrives while each node dispatches 4 calls. Always choosing the best upstream
+	// would send all 36 calls to u0, where they would queue.
+	t.Run("nine nodes do not all choose one upstream", func(t *testing.T) {
 		c := qt.New(t)
 		counts := map[string]int{}
 		for node := range 9 {
@@ -114,7 +114,7 @@
 		c.Assert(counts["u0"] <= 12, qt.IsTrue, qt.Commentf("%v", counts))
 		c.Assert(len(counts) >= 6, qt.IsTrue, qt.Commentf("%v", counts))
 	})
-	t.Run("a report is believed less as it ages", func(t *testing.T) {
+	t.Run("the weight of a report decreases with its age", func(t *testing.T) {
 		c := qt.New(t)
 		table := testTable(1).WithReport("u0", chuterequest.Load{InFlight: 8, Slots: 8}, start)
 		free := func(span time.Duration) int { return table.FreeSlots(Query{Pool: "p", Now: startPlus(span)}) }
@@ -126,7 +126,7 @@
 		table = table.WithDispatched("u0", start).WithDispatched("u0", start)
 		expectChosen(c, table, start, "u1")
 	})
-	t.Run("a late old report changes nothing", func(t *testing.T) {
+	t.Run("a report that arrives late is ignored", func(t *testing.T) {
 		c := qt.New(t)
 		table := testTable(1).WithReport("u0", chuterequest.Load{InFlight: 1, Slots: 8}, startPlus(time.Second))
 		late := table.WithReport("u0", chuterequest.Load{InFlight: 8, Slots: 8}, start)
@@ -135,8 +135,8 @@
 }
 
 func TestLeaving(t *testing.T) {
-	// u0 says that it shuts down. The list lags and goes on naming it as live for
-	// a while: calls sent there would be cut off. Only a new process is welcome.
+	// u0 reports that it shuts down. The list lags and still names it as live: calls sent
+	// there would be cut off. Only a new process under that name gets calls.
 	c := qt.New(t)
 	table := testTable(2).WithReport("u0", chuterequest.Load{Incarnation: "1", Leaving: true}, start)
 	expectChosen(c, table, start, "u1")
@@ -150,10 +150,11 @@
 	stale[0].Leaving = true
 	expectChosen(c, renewed.WithListedUpstreams(stale, startPlus(3*time.Second)), startPlus(3*time.Second), "u0", "u1")
 
-	// A list that uses other names for incarnations than the upstream is obeyed.
+	// The list may use other names for incarnations than the upstream; its leaving flag
+	// still applies.
 	named := testTable(2).WithReport("u0", chuterequest.Load{Incarnation: "pid-9"}, start).WithListedUpstreams(stale, start)
 	expectChosen(c, named, start, "u1")
-	// A peer's word may come before the list has named the upstream at all.
+	// A peer may report an upstream as leaving before the list names it.
 	early := testTable(0).WithLeaving("u0", "1").WithListedUpstreams(testList(2), start)
 	expectChosen(c, early, start, "u1")
 }
@@ -167,7 +168,7 @@
 	c.Assert(table.WithListedUpstreams(testList(2)[1:], startPlus(6*time.Second)).UpstreamViews(), qt.HasLen, 1)
 }
 
-// TestAnyHistory drives random events and checks what must hold after each of them.
+// TestRandomEvents applies random events and checks invariants after each of them.
 func TestRandomEvents(t *testing.T) {
 	kinds := []chuterequest.FailureKind{
 		chuterequest.FailureErrored, chuterequest.FailureBroken, chuterequest.FailureUnreachable,
@@ -197,14 +198,14 @@
 				table = table.WithLeaving(name, "1")
 				markedLeaving[name] = true
 			}
-			require(t, fmt.Sprint(before.UpstreamViews()) == seen, "an earlier table changed")
+			require(t, fmt.Sprint(before.UpstreamViews()) == seen, "an event changed the table before it")
 			q := Query{Pool: "p", Stage: "s", Exclude: []string{"u0"}, Now: now}
 			choice, ok := table.Choose(q, seededRandom(uint64(now.UnixNano())))
-			require(t, ok == (table.CountCandidates(q) > 0), "Choose and Candidates differ")
+			require(t, ok == (table.CountCandidates(q) > 0), "Choose and CountCandidates differ")
 			require(t, ok == (!markedLeaving["u1"] || !markedLeaving["u2"] || !markedLeaving["u3"]), "a usable upstream was not found")
 			require(t, !markedLeaving[choice.Upstream.Name] && choice.Upstream.Name != "u0", "chose %s", choice.Upstream.Name)
-			require(t, choice.ExpectedDuration >= 0 && table.FreeSlots(q) >= 0, "negative")
-			require(t, table.HasFreeSlot(q) == (table.FreeSlots(q) > 0), "HasFree and Free differ")
+			require(t, choice.ExpectedDuration >= 0 && table.FreeSlots(q) >= 0, "ExpectedDuration or FreeSlots is negative")
+			require(t, table.HasFreeSlot(q) == (table.FreeSlots(q) > 0), "HasFreeSlot and FreeSlots differ")
 		}
 	})
 }
