--- a/internal/chuterouting/choose.go
+++ b/internal/chuterouting/choose.go
@@ -36,9 +36,8 @@
 // number in [0,n).
 //
 // It takes a random sample, removes the hot candidates, and compares two random ones and
-// the one with the longest cached prefix by cost. Always taking the best of
-// all would send the calls of every node with the same stale reports to the same
-// upstream.
+// the one with the longest cached prefix by cost. Always taking the best of all would
+// send the calls of every node with the same stale reports to the same upstream.
 func (t Table) Choose(q Query, random func(n int) int) (Choice, bool) {
 	group := t.group(q.Pool)
 	if group == nil {
