--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -78,7 +78,7 @@
 	}
 	line.Str("Upstream", e.Upstream.ID).Str("Pool", e.Upstream.Pool).Str("Peer", e.Upstream.Address).
 		Bool("Limited", e.Limited).Float64("PerSecond", e.Limit.PerSecond).Int("Quota", e.Limit.Quota).
-		Dur("SpanMs", e.Limit.Span).Str("From", e.Teller).Msg("upstream's limit changed")
+		Dur("SpanMs", e.Limit.Span).Str("From", e.AnnouncedBy).Msg("upstream's limit changed")
 }
 
 func (n *Node) setDeadline(e chuterelay.SetDeadline) {
--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -157,7 +157,7 @@
 		}
 		queueTime := st.queueTime(r, i)
 		workTime := st.stageTime(r, i) + st.remainingTime(r, i)
-		if queueTime > maxToleratedWait && st.now.Add(queueTime+workTime).After(chutebatch.AdmissionDeadline(r.aimAt, r.answerBy())) {
+		if queueTime > maxToleratedWait && st.now.Add(queueTime+workTime).After(chutebatch.AdmissionDeadline(r.targetAt, r.answerBy())) {
 			return queueTime, true
 		}
 	}
@@ -178,7 +178,7 @@
 // Otherwise the queue of a request's second stage shows only after the first stage has run for
 // nothing and the caller has waited for that.
 func (st *reduction) waitsAhead(job chutebatch.Job) time.Duration {
-	wait := st.collector.EstimateWait(job, st.laneSeats(job.Lane()), st.now)
+	wait := st.collector.EstimateWait(job, st.laneCandidates(job.Lane()), st.now)
 	for _, pool := range job.FollowingPools {
 		laterJob := job
 		laterJob.Pool = pool
@@ -206,7 +206,7 @@
 	if report, ok := st.localWaits.Get(key); ok && !late && st.now.Sub(report.at) < localWaitTTL {
 		return report.wait, level > 0
 	}
-	wait = st.collector.EstimateWait(sample, st.laneSeats(lane), st.now)
+	wait = st.collector.EstimateWait(sample, st.laneCandidates(lane), st.now)
 	if !late {
 		st.localWaits = st.localWaits.Set(key, waitReport{wait: wait, at: st.now})
 	}
--- a/internal/chuterelay/arrive.go
+++ b/internal/chuterelay/arrive.go
@@ -11,11 +11,11 @@
 	waitedBefore := st.callerWaits.waitedBefore(e.Pipeline.Name, e.CallerWait)
 	st.callerWaits = st.callerWaits.with(e.Pipeline.Name, e.CallerWait)
 	r := request{
-		Submission: e.Submission, arrivedAt: st.now, aimAt: st.now.Add(e.Pipeline.Aim - waitedBefore), waitedBefore: waitedBefore,
+		Submission: e.Submission, arrivedAt: st.now, targetAt: st.now.Add(e.Pipeline.Aim - waitedBefore), waitedBefore: waitedBefore,
 	}
 	r.callerLeavesAt = r.Deadline
-	if patience := r.Pipeline.Patience; patience > 0 {
-		r.callerLeavesAt = earlierOf(r.callerLeavesAt, st.now.Add(patience))
+	if pipelineCallerWait := r.Pipeline.Patience; pipelineCallerWait > 0 {
+		r.callerLeavesAt = earlierOf(r.callerLeavesAt, st.now.Add(pipelineCallerWait))
 	}
 	r.stages = make([]stageState, len(e.Pipeline.Stages))
 	r.pool = e.Pipeline.Target(st.randomFraction())
@@ -49,7 +49,7 @@
 	st.putRequest(r)
 	st.logStep(StepAdmitted, r, func(n *LogStep) {
 		n.Fingerprint = r.Fingerprint
-		n.Zone, n.Waited, n.Aim, n.Evacuated = r.zone, r.waitedBefore, r.aimAt.Sub(st.now), st.fleet.EvacuatedZones()
+		n.Zone, n.Waited, n.Aim, n.Evacuated = r.zone, r.waitedBefore, r.targetAt.Sub(st.now), st.fleet.EvacuatedZones()
 	})
 	st.emit(SetDeadline{Handle: r.Handle, At: r.Deadline})
 	st.advance(r)
--- a/internal/chuterelay/callerwait_test.go
+++ b/internal/chuterelay/callerwait_test.go
@@ -28,8 +28,8 @@
 		n.on(Arrived{Submission: patient(2, 3500*time.Millisecond)})
 		first, _ := n.state.requests.Get(1)
 		back, _ := n.state.requests.Get(2)
-		n.Assert(first.aimAt, qt.Equals, n.now.Add(2*time.Second))
-		n.Assert(back.aimAt.Before(n.now.Add(200*time.Millisecond)), qt.IsTrue)
+		n.Assert(first.targetAt, qt.Equals, n.now.Add(2*time.Second))
+		n.Assert(back.targetAt.Before(n.now.Add(200*time.Millisecond)), qt.IsTrue)
 	})
 
 	t.Run("its parts wait for those that can still be on time", func(t *testing.T) {
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -133,7 +133,7 @@
 		return
 	}
 	var calls []chutebatch.Call
-	st.collector, calls = st.collector.FillSlots(lane, st.laneSeats(lane), st.now)
+	st.collector, calls = st.collector.FillSlots(lane, st.laneCandidates(lane), st.now)
 	for _, call := range calls {
 		u, ok := st.fleet.Get(call.Upstream)
 		if !ok {
@@ -152,23 +152,23 @@
 //
 // A shard whose upstreams are all gone or suspended is served by those of other zones, so that a
 // zone without healthy upstreams of a pool does not fail its requests.
-func (st *reduction) laneSeats(lane chutebatch.Lane) []chutebatch.Candidate {
+func (st *reduction) laneCandidates(lane chutebatch.Lane) []chutebatch.Candidate {
 	var all, inShard, reachable []chutebatch.Candidate
 	for _, u := range st.fleet.AvailableInPool(lane.Pool, st.now) {
 		pace, _ := st.upstreamPaces.Get(u.ID)
-		seat := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
-		all = append(all, seat)
+		candidate := chutebatch.Candidate{Upstream: u.ID, Zone: u.Zone, Slowness: pace.slowness}
+		all = append(all, candidate)
 		if st.zoneSilence.cutOff(u.Zone, st.now) {
 			continue
 		}
-		reachable = append(reachable, seat)
+		reachable = append(reachable, candidate)
 		if u.Zone == lane.Shard {
-			inShard = append(inShard, seat)
+			inShard = append(inShard, candidate)
 		}
 	}
-	for _, seats := range [][]chutebatch.Candidate{inShard, reachable} {
-		if len(seats) > 0 {
-			return seats
+	for _, candidates := range [][]chutebatch.Candidate{inShard, reachable} {
+		if len(candidates) > 0 {
+			return candidates
 		}
 	}
 
@@ -304,7 +304,7 @@
 
 		return
 	}
-	st.emit(ReturnResults{Token: o.token, Results: results, Wait: wait, OverShare: overShare, Loads: st.crowdedUpstreams()})
+	st.emit(ReturnResults{Token: o.token, Results: results, Wait: wait, OverShare: overShare, Loads: st.overloadReports()})
 }
 
 // rejectJob reports to the request or peer that a job failed.
@@ -325,6 +325,6 @@
 	}
 	st.tokens = st.tokens.Delete(o.token)
 	st.emit(RejectJob{
-		Token: o.token, Reason: string(failed.Reason), Wait: wait, OverShare: overShare, Loads: st.crowdedUpstreams(),
+		Token: o.token, Reason: string(failed.Reason), Wait: wait, OverShare: overShare, Loads: st.overloadReports(),
 	})
 }
--- a/internal/chuterelay/effect.go
+++ b/internal/chuterelay/effect.go
@@ -190,7 +190,7 @@
 	// Unreadable is the upstream's own text for the limit, if that is not a rate.
 	Unreadable string
 	// Teller is the node that announced the limit; empty if an answer to this node named it.
-	Teller string
+	AnnouncedBy string
 }
 
 // AnnounceLimit tells the other nodes of a change of an upstream's limit.
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -115,7 +115,7 @@
 	} else {
 		st.fleet = st.fleet.WithoutLimit(u.ID, st.now)
 	}
-	st.logLimitChange(u, before, limited, LogUpstreamLimit{Teller: limit.Teller})
+	st.logLimitChange(u, before, limited, LogUpstreamLimit{AnnouncedBy: limit.Teller})
 }
 
 // applyLimitsOfNewUpstreams applies the remembered limits of upstreams that were not listed
--- a/internal/chuterelay/loads.go
+++ b/internal/chuterelay/loads.go
@@ -14,7 +14,7 @@
 	// crowdedTTL is how long the list of crowded upstreams is reused: checking hundreds of
 	// upstreams for each of hundreds of jobs a second would cost more than the fresher list is
 	// worth.
-	crowdedTTL = 100 * time.Millisecond
+	overloadReportsTTL = 100 * time.Millisecond
 )
 
 // loadReports holds the upstream loads that this node passes on to others.
@@ -26,8 +26,8 @@
 	// pending are the upstreams that have reported a load since the last job for a peer.
 	pending []string
 	// crowded was computed at crowdedAt. The slice is replaced, never modified.
-	crowded   []chutefleet.LoadReport
-	crowdedAt time.Time
+	overloaded   []chutefleet.LoadReport
+	overloadedAt time.Time
 }
 
 // withPending adds an upstream that has reported its load.
@@ -61,17 +61,17 @@
 
 // crowdedUpstreams returns the loads of the engines that have too many calls for prompts to stay
 // there.
-func (st *reduction) crowdedUpstreams() []chutefleet.LoadReport {
-	if !st.loadReports.crowdedAt.IsZero() && st.now.Sub(st.loadReports.crowdedAt) < crowdedTTL {
-		return st.loadReports.crowded
+func (st *reduction) overloadReports() []chutefleet.LoadReport {
+	if !st.loadReports.overloadedAt.IsZero() && st.now.Sub(st.loadReports.overloadedAt) < overloadReportsTTL {
+		return st.loadReports.overloaded
 	}
-	var crowded []chutefleet.LoadReport
+	var overloaded []chutefleet.LoadReport
 	for name, pool := range st.config.Pools {
 		if pool.Engine != nil {
-			crowded = append(crowded, st.fleet.OverloadReports(name, st.now)...)
+			overloaded = append(overloaded, st.fleet.OverloadReports(name, st.now)...)
 		}
 	}
-	st.loadReports.crowded, st.loadReports.crowdedAt = crowded, st.now
+	st.loadReports.overloaded, st.loadReports.overloadedAt = overloaded, st.now
 
-	return crowded
+	return overloaded
 }
--- a/internal/chuterelay/request.go
+++ b/internal/chuterelay/request.go
@@ -51,7 +51,7 @@
 	arrivedAt time.Time
 	// aimAt is when the request should be answered: its pipeline's aim, counted from the caller's
 	// first sending.
-	aimAt time.Time
+	targetAt time.Time
 	// callerLeavesAt is when the caller leaves if it has received no event by then.
 	callerLeavesAt time.Time
 	// waitedBefore is the estimate of how long the caller had waited before this sending.
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -11,8 +11,8 @@
 	maxStageFailures = 4
 	// resumePriority and resumeAim put the stages of a broken stream, which are run again, ahead
 	// of all others: its caller has part of the answer and sees a pause.
-	resumePriority = -1
-	resumeAim      = 3 * time.Second
+	resumePriority    = -1
+	resumeTargetDelay = 3 * time.Second
 )
 
 // requestStage requests all parts of a stage from the pool's collector.
@@ -22,7 +22,7 @@
 	remaining, laterPools := st.longestPath(r, i)
 	job := chutebatch.Job{
 		Request: r.ID, Pool: stage.Pool, Stage: i, Parts: r.parts(i),
-		ResultBytes: stage.ResultBytes, Priority: r.rank(), TargetAt: r.aimAt, Deadline: r.answerBy(),
+		ResultBytes: stage.ResultBytes, Priority: r.rank(), TargetAt: r.targetAt, Deadline: r.answerBy(),
 		TimeAfterStage: remaining, FollowingPools: laterPools, Zone: r.zone, QueuedAt: st.now, Workspace: r.Workspace.Name,
 		Pipeline: r.Pipeline.Name, Fingerprint: r.Fingerprint,
 	}
@@ -38,7 +38,7 @@
 		job.TargetAt = laterOf(job.TargetAt, st.now.Add(remaining+st.dueTime(stage.Pool)))
 	}
 	if r.answerBegun {
-		job.Priority, job.TargetAt = resumePriority, st.now.Add(resumeAim)
+		job.Priority, job.TargetAt = resumePriority, st.now.Add(resumeTargetDelay)
 	}
 	job.Zone = st.placementZone(job.Zone)
 	job.Shard = st.shard(job)
@@ -229,5 +229,5 @@
 
 // expectedLateness returns how long after its aim a request is expected to be answered.
 func (r request) expectedLateness(now time.Time) time.Duration {
-	return now.Add(r.callTime()).Sub(r.aimAt)
+	return now.Add(r.callTime()).Sub(r.targetAt)
 }
