--- a/internal/chuterelay/admit.go
+++ b/internal/chuterelay/admit.go
@@ -13,8 +13,8 @@
 	// waitReportTTL is how long a collector's report of its queue's wait is used. A queue of one
 	// second has been served a second later.
 	waitReportTTL = time.Second
-	// maxToleratedWait is the queue time up to which a request is admitted whatever its aim. It is
-	// about the error of the estimate, which is one call.
+	// maxToleratedWait is the queue time up to which a request is admitted whatever its target
+	// time. It is about the error of the estimate, which is one call.
 	maxToleratedWait = 300 * time.Millisecond
 	// overloadRetryAfter is the retry delay given to a caller that was refused because of a queue.
 	// After a shorter delay it would meet the same queue and be refused again.
@@ -166,8 +166,8 @@
 }
 
 // overloadRefusal refuses a request because of its queue time. A workspace over its share has a
-// queue of its own, and its callers are told to retry when that queue has been served;
-// ownQueueWait is 0 for all others.
+// queue of its own, and its callers receive a retry delay that lasts until that queue has been
+// served; ownQueueWait is 0 for all others.
 func overloadRefusal(reason string, ownQueueWait time.Duration) Refusal {
 	return Refusal{Kind: RefusedNotRun, Reason: reason, RetryAfter: max(overloadRetryAfter, ownQueueWait)}
 }
--- a/internal/chuterelay/callerwait.go
+++ b/internal/chuterelay/callerwait.go
@@ -9,7 +9,7 @@
 const (
 	// resentBelow is the share of the longest usual wait below which a caller is assumed to be
 	// resending a refused request. The waits that callers state with a first sending vary
-	// somewhat, and a caller that was told to retry has used up more than that.
+	// somewhat, and a caller that received a retry delay has used up more than that.
 	resentBelow = 0.85
 	// firstSendShare is the average wait of first sendings, halfway between resentBelow and the
 	// longest wait, as a share of the longest.
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -12,7 +12,7 @@
 	queueCheckInterval = 20 * time.Millisecond
 	// callTimeoutFactor and callTimeoutMargin bound a call with parts: one that takes longer than
 	// 2.2 times its expected time plus 150 ms counts as lost, so that parts on a dead upstream can
-	// still meet their aim elsewhere.
+	// still meet their target time elsewhere.
 	callTimeoutFactor = 2.2
 	callTimeoutMargin = 150 * time.Millisecond
 	// slowCallTimeoutFactor is the same for an upstream that is known to be slow, as a multiple of
@@ -148,7 +148,7 @@
 	}
 }
 
-// laneSeats lists the lane's upstreams that may get calls.
+// laneCandidates lists the lane's upstreams that may get calls.
 //
 // A shard whose upstreams are all gone or suspended is served by those of other zones, so that a
 // zone without healthy upstreams of a pool does not fail its requests.
--- a/internal/chuterelay/doc.go
+++ b/internal/chuterelay/doc.go
@@ -1,6 +1,6 @@
 // Package chuterelay decides how relayed requests are processed: which stages run when and at
 // which node's collector, which upstream gets the call, how each possible end of a call is
-// handled, and what the caller is told.
+// handled, and what the caller receives.
 //
 // It is one part of the node's reducer: Reduce takes a State and an Event and returns the next
 // State and the Effects to carry out. Bytes of requests and answers never pass through it. It does
--- a/internal/chuterelay/effect.go
+++ b/internal/chuterelay/effect.go
@@ -54,7 +54,7 @@
 	Attempt uint64
 }
 
-// Refuse tells the caller why there is no answer; a stream that has begun is broken off.
+// Refuse reports to the caller why there is no answer; a stream that has begun is broken off.
 type Refuse struct {
 	Handle  uint64
 	Refusal Refusal
@@ -74,7 +74,7 @@
 	Loads []chutefleet.LoadReport
 }
 
-// CancelJob tells the peer that the job or its results are not needed any more.
+// CancelJob reports to the peer that the job or its results are not needed any more.
 type CancelJob struct {
 	JobRequestID uint64
 }
@@ -87,11 +87,11 @@
 	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are those of crowded upstreams.
+	// Loads are those of overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// RejectJob tells a peer that its job yields no results.
+// RejectJob reports to a peer that its job yields no results.
 type RejectJob struct {
 	Token   uint64
 	Reason  string
@@ -100,7 +100,7 @@
 	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are those of crowded upstreams.
+	// Loads are those of overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
@@ -111,7 +111,7 @@
 	Timeout  time.Duration
 }
 
-// FreeResults tells an upstream which results are not needed any more.
+// FreeResults reports to an upstream which results are not needed any more.
 type FreeResults struct {
 	Upstream chutefleet.Upstream
 	Refs     []string
@@ -157,12 +157,12 @@
 	Wasted    bool
 }
 
-// AnnounceCrash tells the other nodes of an upstream's crash that this node observed.
+// AnnounceCrash announces to the other nodes an upstream's crash that this node observed.
 type AnnounceCrash struct {
 	Crash chutequarantine.Crash
 }
 
-// AnnounceJudgement tells the other nodes of a judgement.
+// AnnounceJudgement announces a judgement to the other nodes.
 type AnnounceJudgement struct {
 	Judgement chutequarantine.Judgement
 }
@@ -189,11 +189,11 @@
 	Limit   chutefleet.Limit
 	// Unreadable is the upstream's own text for the limit, if that is not a rate.
 	Unreadable string
-	// Teller is the node that announced the limit; empty if an answer to this node named it.
+	// AnnouncedBy is the node that announced the limit; empty if an answer to this node named it.
 	AnnouncedBy string
 }
 
-// AnnounceLimit tells the other nodes of a change of an upstream's limit.
+// AnnounceLimit announces a change of an upstream's limit to the other nodes.
 type AnnounceLimit struct {
 	Limit chutefleet.LimitRecord
 }
--- a/internal/chuterelay/event.go
+++ b/internal/chuterelay/event.go
@@ -83,7 +83,7 @@
 	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are those of crowded upstreams.
+	// Loads are those of overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
@@ -99,7 +99,7 @@
 	// for the job's workspace alone, which is over its share.
 	Wait      time.Duration
 	OverShare bool
-	// Loads are those of crowded upstreams.
+	// Loads are those of overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
@@ -227,7 +227,7 @@
 // JudgeDue reports that crashes can be judged.
 type JudgeDue struct{}
 
-// DrainStarted reports that the process was told to end.
+// DrainStarted reports that the process has received the request to end.
 type DrainStarted struct{}
 
 // DrainEnding reports that the process ends soon.
--- a/internal/chuterelay/limits.go
+++ b/internal/chuterelay/limits.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// announceLimit tells the other nodes of an upstream's limit, if it differs from the last
+// announceLimit announces an upstream's limit to the other nodes, if it differs from the last
 // announcement.
 //
 // A node learns of a limit from answers only. Without announcements each of hundreds of nodes
--- a/internal/chuterelay/loads.go
+++ b/internal/chuterelay/loads.go
@@ -11,21 +11,22 @@
 	// maxPendingLoads bounds the upstreams whose loads are sent with the next job. A node learns
 	// of one to three between two jobs.
 	maxPendingLoads = 8
-	// crowdedTTL is how long the list of crowded upstreams is reused: checking hundreds of
-	// upstreams for each of hundreds of jobs a second would cost more than the fresher list is
-	// worth.
+	// overloadReportsTTL is how long the reports on overloaded upstreams are reused: checking
+	// hundreds of upstreams for each of hundreds of jobs a second would cost more than the fresher
+	// reports are worth.
 	overloadReportsTTL = 100 * time.Millisecond
 )
 
 // loadReports holds the upstream loads that this node passes on to others.
 //
 // Hundreds of nodes each send a pool's upstreams one call every few seconds, so none of them knows
-// the loads. A zone's collector hears from all nodes of its zone many times a second: jobs carry
-// the loads that their nodes have learned, and its answers name the crowded upstreams.
+// the loads. A zone's collector receives jobs from all nodes of its zone many times a second: jobs
+// carry the loads that their nodes have learned, and its answers name the overloaded upstreams.
 type loadReports struct {
 	// pending are the upstreams that have reported a load since the last job for a peer.
 	pending []string
-	// crowded was computed at crowdedAt. The slice is replaced, never modified.
+	// overloaded are the reports on overloaded upstreams, computed at overloadedAt. The slice is
+	// replaced, never modified.
 	overloaded   []chutefleet.LoadReport
 	overloadedAt time.Time
 }
@@ -59,8 +60,8 @@
 	}
 }
 
-// crowdedUpstreams returns the loads of the engines that have too many calls for prompts to stay
-// there.
+// overloadReports returns reports on the overloaded engines: those that have too many calls for
+// prompts to stay there.
 func (st *reduction) overloadReports() []chutefleet.LoadReport {
 	if !st.loadReports.overloadedAt.IsZero() && st.now.Sub(st.loadReports.overloadedAt) < overloadReportsTTL {
 		return st.loadReports.overloaded
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -57,8 +57,8 @@
 
 // recordCrash records that an upstream ended while it ran requests of this node.
 //
-// An upstream that was leaving, or had left the list already, ended as it was told to, whatever it
-// still ran: the list entry of one that crashes expires seconds later.
+// An upstream that was leaving, or had left the list already, ended on request, whatever it still
+// ran: the list entry of one that crashes expires seconds later.
 func (st *reduction) recordCrash(u chutefleet.Upstream, evidence string, suspects ...chutequarantine.Suspect) {
 	known, listed := st.fleet.Get(u.ID)
 	serving := listed && known.State == chutefleet.StateReady || st.fleet.IsReplaced(u.ID)
--- a/internal/chuterelay/request.go
+++ b/internal/chuterelay/request.go
@@ -49,8 +49,8 @@
 	// pool is the call's pool, drawn at random from the pipeline's targets.
 	pool      string
 	arrivedAt time.Time
-	// aimAt is when the request should be answered: its pipeline's aim, counted from the caller's
-	// first sending.
+	// targetAt is the target time, when the request should be answered: its pipeline's Aim, counted
+	// from the caller's first sending.
 	targetAt time.Time
 	// callerLeavesAt is when the caller leaves if it has received no event by then.
 	callerLeavesAt time.Time
@@ -93,9 +93,9 @@
 // rank returns the priority of the stages' jobs: by the request's priority first, and within it by
 // the pipeline's.
 //
-// All of a workspace's requests have its priority. Ordered within it by their aims alone, requests
-// with a long aim that have waited for a while go ahead of urgent ones with a short aim. The
-// urgent ones are refused, so that the most urgent pipeline is served least.
+// All of a workspace's requests have its priority. Ordered within it by their target times alone,
+// requests of a pipeline with a long Aim that have waited for a while go ahead of urgent ones with
+// a short Aim. The urgent ones are refused, so that the most urgent pipeline is served least.
 func (r request) rank() int {
 	return r.priority()*ranksPerPriority + min(max(0, r.Pipeline.Priority), ranksPerPriority-1)
 }
@@ -195,8 +195,8 @@
 // answerBy returns when the answer, or its first event, has to be there.
 //
 // Callers of a stream leave long before their deadlines if nothing comes. If the request is kept
-// until the deadline, all results made for it are lost, and its caller, who was not told to retry,
-// does not.
+// until the deadline, all results made for it are lost, and its caller, who received no retry
+// delay, does not retry.
 func (r request) answerBy() time.Time {
 	if r.answerBegun {
 		return r.Deadline
--- a/internal/chuterelay/results.go
+++ b/internal/chuterelay/results.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// freeOnUpstream tells an upstream which results are not needed any more, unless its zone is
+// freeOnUpstream reports to an upstream which results are not needed any more, unless its zone is
 // evacuated.
 func (st *reduction) freeOnUpstream(f chutebatch.FreeRequest) {
 	if u, ok := st.fleet.Get(f.Upstream); ok && !st.fleet.Evacuated(u.Zone) {
--- a/internal/chuterelay/stages.go
+++ b/internal/chuterelay/stages.go
@@ -9,8 +9,9 @@
 const (
 	// maxStageFailures bounds how often one stage of a request is requested.
 	maxStageFailures = 4
-	// resumePriority and resumeAim put the stages of a broken stream, which are run again, ahead
-	// of all others: its caller has part of the answer and sees a pause.
+	// resumePriority and resumeTargetDelay, the time from now to the target time, put the stages
+	// of a broken stream, which are run again, ahead of all others: its caller has part of the
+	// answer and sees a pause.
 	resumePriority    = -1
 	resumeTargetDelay = 3 * time.Second
 )
@@ -227,7 +228,7 @@
 	st.finish(r)
 }
 
-// expectedLateness returns how long after its aim a request is expected to be answered.
+// expectedLateness returns how long after its target time a request is expected to be answered.
 func (r request) expectedLateness(now time.Time) time.Duration {
 	return now.Add(r.callTime()).Sub(r.targetAt)
 }
