--- a/internal/chutebatch/collector.go
+++ b/internal/chutebatch/collector.go
@@ -179,7 +179,7 @@
 	if !ok {
 		demand = chutefair.NewDemand()
 	}
-	c.demand = c.demand.Set(j.Lane(), demand.With(j.Workspace, float64(j.Parts), j.QueuedAt))
+	c.demand = c.demand.Set(j.Lane(), demand.WithWork(j.Workspace, float64(j.Parts), j.QueuedAt))
 	entry := jobState{Job: j, missingResults: j.Parts, results: make([]Result, j.Parts)}
 	for i := range j.Parts {
 		entry.pending = append(entry.pending, i)
--- a/internal/chutebatch/queue.go
+++ b/internal/chutebatch/queue.go
@@ -116,7 +116,7 @@
 	}
 	previous, _ := c.jobs.Get(j.ID)
 	q.waitingParts += len(j.pending) - len(previous.pending)
-	q.fairQueue = q.fairQueue.With(j.Workspace, j.Level, len(j.pending)-len(previous.pending))
+	q.fairQueue = q.fairQueue.WithWork(j.Workspace, j.Level, len(j.pending)-len(previous.pending))
 	switch {
 	case len(j.pending) > 0 && len(previous.pending) == 0:
 		q.order = q.order.Set(j.queueKey(), j.ID)
--- a/internal/chutebudget/budget.go
+++ b/internal/chutebudget/budget.go
@@ -34,8 +34,8 @@
 	Window time.Duration
 }
 
-// Span returns the window's length.
-func (s Settings) Span() time.Duration {
+// WindowLength returns the window's length.
+func (s Settings) WindowLength() time.Duration {
 	if s.Window <= 0 {
 		return DefaultWindow
 	}
@@ -43,8 +43,8 @@
 	return max(s.Window, ShortestWindow)
 }
 
-// Memory returns how long a repeat counts at least, on its way to the upstream included.
-func (s Settings) Memory() time.Duration {
+// RetentionTime returns how long a repeat counts at least, on its way to the upstream included.
+func (s Settings) RetentionTime() time.Duration {
 	return s.slot() * time.Duration(s.spentSlots())
 }
 
@@ -59,7 +59,7 @@
 }
 
 func (s Settings) slot() time.Duration {
-	return s.Span() / windowSlots
+	return s.WindowLength() / windowSlots
 }
 
 // credit is what one first call earns, in parts of a unit.
@@ -116,8 +116,8 @@
 	return &b.slots[(b.newest-age+maxSlots)%maxSlots]
 }
 
-// WithFirst counts n first calls.
-func (b Budget) WithFirst(s Settings, n int, now time.Time) Budget {
+// WithFirstCalls counts n first calls.
+func (b Budget) WithFirstCalls(s Settings, n int, now time.Time) Budget {
 	b = b.moved(s, now)
 	newest := b.aged(0)
 	newest.first += int32(n)                        //nolint:gosec // calls of a fraction of a second
@@ -126,9 +126,9 @@
 	return b
 }
 
-// WithSpent counts n repeats. They are paid with credit, the oldest first, and what that lacks
+// WithRetries counts n repeats. They are paid with credit, the oldest first, and what that lacks
 // with slack, so that parts of a repeat that few calls have earned are of use, too.
-func (b Budget) WithSpent(s Settings, n int, now time.Time) Budget {
+func (b Budget) WithRetries(s Settings, n int, now time.Time) Budget {
 	b = b.moved(s, now)
 	b.aged(0).spent += int32(n) //nolint:gosec // calls of a fraction of a second
 	price := int32(n * unit)    //nolint:gosec // as above
--- a/internal/chutebudget/budget_test.go
+++ b/internal/chutebudget/budget_test.go
@@ -15,9 +15,9 @@
 
 	t.Run("a share of first calls and the slack may be repeated, and no more", func(t *testing.T) {
 		c := qt.New(t)
-		b := Budget{}.WithFirst(settings, 60, start)
+		b := Budget{}.WithFirstCalls(settings, 60, start)
 		c.Assert(b.Counts(settings, 3, start), qt.Equals, Counts{First: 60, Slack: 3, Left: 13})
-		b = b.WithSpent(settings, 13, start.Add(time.Second))
+		b = b.WithRetries(settings, 13, start.Add(time.Second))
 		c.Assert(b.Counts(settings, 3, start.Add(time.Second)).Left, qt.Equals, 0)
 	})
 
@@ -27,9 +27,9 @@
 		repeats := 0
 		for n := range 10 {
 			now := start.Add(time.Duration(n) * time.Second)
-			b = b.WithFirst(settings, 3, now)
+			b = b.WithFirstCalls(settings, 3, now)
 			if b.Counts(settings, 5, now).Left > 0 {
-				b = b.WithSpent(settings, 1, now)
+				b = b.WithRetries(settings, 1, now)
 				repeats++
 			}
 		}
@@ -39,7 +39,7 @@
 	t.Run("the budget fills up again as the window moves on", func(t *testing.T) {
 		c := qt.New(t)
 		s := Settings{Ratio: 0, Slack: 3}
-		b := Budget{}.WithSpent(s, 3, start)
+		b := Budget{}.WithRetries(s, 3, start)
 		c.Assert(b.Counts(s, 3, start).Left, qt.Equals, 0)
 		c.Assert(b.Counts(s, 3, start.Add(DefaultWindow-time.Second)).Left, qt.Equals, 0)
 		c.Assert(b.Counts(s, 3, start.Add(DefaultWindow+time.Second)).Left, qt.Equals, 3)
@@ -47,16 +47,16 @@
 
 	t.Run("credit lasts shortly, first calls and repeats are shown for a window", func(t *testing.T) {
 		c := qt.New(t)
-		b := Budget{}.WithFirst(settings, 60, start).WithSpent(settings, 2, start)
+		b := Budget{}.WithFirstCalls(settings, 60, start).WithRetries(settings, 2, start)
 		later := start.Add(2 * time.Second)
 		c.Assert(b.Counts(settings, 0, later), qt.Equals, Counts{First: 60, Spent: 2})
-		c.Assert(b.Counts(settings, 0, start.Add(settings.Memory())), qt.Equals, Counts{})
+		c.Assert(b.Counts(settings, 0, start.Add(settings.RetentionTime())), qt.Equals, Counts{})
 	})
 
 	t.Run("a window of another length", func(t *testing.T) {
 		c := qt.New(t)
 		short := Settings{Ratio: 0.2, Window: 2 * time.Second}
-		b := Budget{}.WithSpent(short, 1, start)
+		b := Budget{}.WithRetries(short, 1, start)
 		c.Assert(b.Counts(short, 1, start.Add(2*time.Second)).Left, qt.Equals, 0)
 		c.Assert(b.Counts(short, 1, start.Add(3*time.Second)).Left, qt.Equals, 1)
 	})
@@ -77,11 +77,11 @@
 			if b.Counts(settings, slack, now).Left == 0 {
 				continue
 			}
-			b = b.WithSpent(settings, 1, now)
+			b = b.WithRetries(settings, 1, now)
 			spent = append(spent, now)
 		}
 		for i := slack; i < len(spent); i++ {
-			if spent[i].Sub(spent[i-slack]) < settings.Span()+lateness {
+			if spent[i].Sub(spent[i-slack]) < settings.WindowLength()+lateness {
 				t.Fatalf("more than %d repeats in the window up to %v", slack, spent[i].Sub(start))
 			}
 		}
@@ -103,10 +103,10 @@
 				at = rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
 				failing = rapid.Bool().Draw(t, "failing")
 			}
-			nodes[at] = nodes[at].WithFirst(settings, 1, now)
+			nodes[at] = nodes[at].WithFirstCalls(settings, 1, now)
 			firsts = append(firsts, now)
 			for failing && nodes[at].Counts(settings, 0, now).Left > 0 {
-				nodes[at] = nodes[at].WithSpent(settings, 1, now)
+				nodes[at] = nodes[at].WithRetries(settings, 1, now)
 				repeats = append(repeats, now)
 			}
 		}
--- a/internal/chutefair/demand.go
+++ b/internal/chutefair/demand.go
@@ -52,8 +52,8 @@
 	return Demand{usual: immutable.NewMap[string, usual](nil)}
 }
 
-// With takes in work that a workspace asks for, in any unit that is the same for all.
-func (d Demand) With(workspace string, work float64, now time.Time) Demand {
+// WithWork takes in work that a workspace asks for, in any unit that is the same for all.
+func (d Demand) WithWork(workspace string, work float64, now time.Time) Demand {
 	if d.began.IsZero() {
 		d.began = now
 	}
--- a/internal/chutefair/fair_test.go
+++ b/internal/chutefair/fair_test.go
@@ -16,7 +16,7 @@
 	now := start
 	for range seconds {
 		for name, w := range work {
-			d = d.With(name, w, now)
+			d = d.WithWork(name, w, now)
 		}
 		now = now.Add(time.Second)
 	}
@@ -40,10 +40,10 @@
 		d, now := steady(memory, map[string]float64{"loud": 10, "other": 90})
 		before := d.Share("loud", now)
 		for range 9 {
-			d = d.With("loud", 80, now).With("other", 90, now)
+			d = d.WithWork("loud", 80, now).WithWork("other", 90, now)
 			now = now.Add(time.Second)
 		}
-		after := d.With("loud", 0, now).Share("loud", now)
+		after := d.WithWork("loud", 0, now).Share("loud", now)
 		c.Assert(after < 1.6*before, qt.IsTrue, qt.Commentf("%f to %f", before, after))
 	})
 
@@ -51,7 +51,7 @@
 		c := qt.New(t)
 		d, now := steady(20, map[string]float64{"grown": 10, "other": 90})
 		for range 60 {
-			d = d.With("grown", 30, now).With("other", 90, now)
+			d = d.WithWork("grown", 30, now).WithWork("other", 90, now)
 			now = now.Add(time.Second)
 		}
 		share := d.Share("grown", now)
@@ -64,14 +64,14 @@
 		c := qt.New(t)
 		d, now := steady(1, map[string]float64{"seldom": 1, "other": 90})
 		for i := range 600 {
-			d = d.With("other", 90, now)
+			d = d.WithWork("other", 90, now)
 			if i%30 == 0 {
-				d = d.With("seldom", 1, now)
+				d = d.WithWork("seldom", 1, now)
 			}
 			now = now.Add(time.Second)
 		}
 		for range 60 {
-			d = d.With("seldom", 30, now).With("other", 90, now)
+			d = d.WithWork("seldom", 30, now).WithWork("other", 90, now)
 			now = now.Add(time.Second)
 		}
 		share := d.Share("seldom", now)
@@ -81,7 +81,7 @@
 	t.Run("a new workspace has a share", func(t *testing.T) {
 		c := qt.New(t)
 		d, now := steady(memory, map[string]float64{"a": 50, "b": 50})
-		share := d.With("new", 500, now).Share("new", now)
+		share := d.WithWork("new", 500, now).Share("new", now)
 		c.Assert(share > 0.03 && share < 0.2, qt.IsTrue, qt.Commentf("%f", share))
 	})
 
@@ -97,7 +97,7 @@
 		c := qt.New(t)
 		d := NewDemand()
 		for i := range 37_000 {
-			d = d.With(fmt.Sprint("w", i), 1, start.Add(time.Duration(i)*time.Millisecond))
+			d = d.WithWork(fmt.Sprint("w", i), 1, start.Add(time.Duration(i)*time.Millisecond))
 		}
 		c.Assert(d.usual.Len() <= maxWorkspaces, qt.IsTrue)
 	})
@@ -112,7 +112,7 @@
 				name := fmt.Sprint("w", i)
 				level := q.Level(name, 0.1, 8)
 				c.Assert(level, qt.Equals, 0)
-				q = q.With(name, level, 2)
+				q = q.WithWork(name, level, 2)
 			}
 		}
 	})
@@ -122,7 +122,7 @@
 		q := NewQueue()
 		for range 200 {
 			for _, name := range []string{"loud", "louder", "louder"} {
-				q = q.With(name, q.Level(name, 0.1, 8), 2)
+				q = q.WithWork(name, q.Level(name, 0.1, 8), 2)
 			}
 		}
 		c.Assert(q.Level("quiet", 0.1, 8), qt.Equals, 0)
@@ -133,7 +133,7 @@
 
 	t.Run("a queue that has emptied keeps nothing", func(t *testing.T) {
 		c := qt.New(t)
-		q := NewQueue().With("a", 1, 3).With("b", 0, 2).With("a", 1, -3).With("b", 0, -2)
+		q := NewQueue().WithWork("a", 1, 3).WithWork("b", 0, 2).WithWork("a", 1, -3).WithWork("b", 0, -2)
 		c.Assert(q.waiting.Len(), qt.Equals, 0)
 		c.Assert(q.levels, qt.Equals, [maxLevel + 1]int{})
 	})
--- a/internal/chutefair/queue.go
+++ b/internal/chutefair/queue.go
@@ -44,8 +44,8 @@
 	return Queue{waiting: immutable.NewMap[slot, int](slotHasher{})}
 }
 
-// With adds work of a workspace at a level, or takes it away.
-func (q Queue) With(workspace string, level, work int) Queue {
+// WithWork adds work of a workspace at a level, or takes it away.
+func (q Queue) WithWork(workspace string, level, work int) Queue {
 	if work == 0 {
 		return q
 	}
--- a/internal/chutefeed/change.go
+++ b/internal/chutefeed/change.go
@@ -16,13 +16,13 @@
 	Groups     []uint32
 	GroupCount int
 	Rows       []Row
-	// Gone lists keys that are deleted.
-	Gone []string
+	// DeletedKeys lists keys that are deleted.
+	DeletedKeys []string
 }
 
-// Empty says whether the change brings nothing but a version.
-func (c Change) Empty() bool {
-	return !c.Whole && len(c.Groups) == 0 && len(c.Rows) == 0 && len(c.Gone) == 0
+// IsEmpty says whether the change brings nothing but a version.
+func (c Change) IsEmpty() bool {
+	return !c.Whole && len(c.Groups) == 0 && len(c.Rows) == 0 && len(c.DeletedKeys) == 0
 }
 
 const (
@@ -70,8 +70,8 @@
 	return uint32(xxhash.Sum64String(key) % uint64(max(1, count))) //nolint:gosec // below MaxGroups
 }
 
-// Missing returns what the holder of a table with the digests lacks of this one.
-func (t Table) Missing(digests []uint64) Change {
+// ChangeForDigests returns what the holder of a table with the digests lacks of this one.
+func (t Table) ChangeForDigests(digests []uint64) Change {
 	whole := Change{Version: t.version, Whole: true, Rows: t.rows}
 	if len(digests) == 0 || len(digests) > MaxGroups {
 		return whole
@@ -97,13 +97,13 @@
 	return c
 }
 
-// Since returns what changed from an earlier state to this one.
-func (t Table) Since(old Table) Change {
+// ChangeSince returns what changed from an earlier state to this one.
+func (t Table) ChangeSince(old Table) Change {
 	c := Change{Version: t.version}
 	before := old.rows
 	for _, row := range t.rows {
 		for len(before) > 0 && before[0].Key < row.Key {
-			c.Gone, before = append(c.Gone, before[0].Key), before[1:]
+			c.DeletedKeys, before = append(c.DeletedKeys, before[0].Key), before[1:]
 		}
 		if len(before) > 0 && before[0].Key == row.Key {
 			same := sameRow(before[0], row)
@@ -115,7 +115,7 @@
 		c.Rows = append(c.Rows, row)
 	}
 	for _, row := range before {
-		c.Gone = append(c.Gone, row.Key)
+		c.DeletedKeys = append(c.DeletedKeys, row.Key)
 	}
 
 	return c
--- a/internal/chutefeed/feed.go
+++ b/internal/chutefeed/feed.go
@@ -15,17 +15,17 @@
 	return &Feed{digests: digests, version: version}
 }
 
-// Next returns what the follower lacks of a table, and false if that is nothing.
+// NextChange returns what the follower lacks of a table, and false if that is nothing.
 //
 // A follower that knows more than this node has heard of keeps what it has: this node's
 // rows would bring back an upstream that is leaving.
-func (f *Feed) Next(table Table) (Change, bool) {
+func (f *Feed) NextChange(table Table) (Change, bool) {
 	if table.Version() == 0 || table.Version() < f.version || f.begun && table.Version() == f.version {
 		return Change{}, false
 	}
-	change := table.Since(f.sent)
+	change := table.ChangeSince(f.sent)
 	if !f.begun {
-		change = table.Missing(f.digests)
+		change = table.ChangeForDigests(f.digests)
 	}
 	f.begun, f.sent, f.version = true, table, table.Version()
 
--- a/internal/chutefeed/table.go
+++ b/internal/chutefeed/table.go
@@ -62,14 +62,14 @@
 	return t
 }
 
-// With returns the table with a change taken in.
-func (t Table) With(c Change) Table {
+// WithChange returns the table with a change taken in.
+func (t Table) WithChange(c Change) Table {
 	version := max(t.version, c.Version)
 	if c.Whole {
 		return NewTable(c.Rows, version)
 	}
 	news := NewTable(c.Rows, 0).rows
-	gone := slices.Clone(c.Gone)
+	gone := slices.Clone(c.DeletedKeys)
 	slices.Sort(gone)
 	drop := func(key string) bool {
 		_, isGone := slices.BinarySearch(gone, key)
@@ -92,8 +92,8 @@
 	return Table{rows: append(merged, news...), version: version}
 }
 
-// Same says whether two tables hold rows that mean the same, whatever their versions.
-func (t Table) Same(other Table) bool {
+// HasSameRows says whether two tables hold rows that mean the same, whatever their versions.
+func (t Table) HasSameRows(other Table) bool {
 	return slices.EqualFunc(t.rows, other.rows, sameRow)
 }
 
--- a/internal/chutefeed/table_test.go
+++ b/internal/chutefeed/table_test.go
@@ -24,14 +24,14 @@
 func TestChanges(t *testing.T) {
 	t.Run("what changed since a state leads from it to the later one", rapid.MakeCheck(func(t *rapid.T) {
 		old, next := drawTable(t, "old"), drawTable(t, "next")
-		if got := old.With(next.Since(old)); !got.Same(next) {
+		if got := old.WithChange(next.ChangeSince(old)); !got.HasSameRows(next) {
 			t.Fatalf("%v in place of %v", got, next)
 		}
 	}))
 
 	t.Run("what is missing by digests leads to the table, whatever the holder has", rapid.MakeCheck(func(t *rapid.T) {
 		has, table := drawTable(t, "has"), drawTable(t, "table")
-		if got := has.With(table.Missing(has.Digests())); !got.Same(table) {
+		if got := has.WithChange(table.ChangeForDigests(has.Digests())); !got.HasSameRows(table) {
 			t.Fatalf("%v in place of %v", got, table)
 		}
 	}))
@@ -43,7 +43,7 @@
 		row := Row{Key: "u", Value: []byte("ready"), Version: 5}
 		b := NewTable([]Row{row}, 9)
 		fromA := NewTable(nil, 8)
-		c.Assert(fromA.With(b.Missing(fromA.Digests())).Same(b), qt.IsTrue)
+		c.Assert(fromA.WithChange(b.ChangeForDigests(fromA.Digests())).HasSameRows(b), qt.IsTrue)
 	})
 }
 
@@ -56,19 +56,19 @@
 
 	t.Run("the same rows under another version are not sent", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(table.Missing(NewTable(rows, 3).Digests()).Empty(), qt.IsTrue)
+		c.Assert(table.ChangeForDigests(NewTable(rows, 3).Digests()).IsEmpty(), qt.IsTrue)
 	})
 
 	t.Run("one row that differs brings its group along", func(t *testing.T) {
 		c := qt.New(t)
-		other := table.With(Change{Version: 9, Rows: []Row{{Key: "key7", Value: []byte("leaving")}}})
-		change := table.Missing(other.Digests())
+		other := table.WithChange(Change{Version: 9, Rows: []Row{{Key: "key7", Value: []byte("leaving")}}})
+		change := table.ChangeForDigests(other.Digests())
 		c.Assert(change.Groups, qt.HasLen, 1)
 		c.Assert(len(change.Rows) < 3*rowsAGroup, qt.IsTrue)
 	})
 
 	t.Run("digests that no node sends get the whole table", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(table.Missing(make([]uint64, MaxGroups+1)).Whole, qt.IsTrue)
+		c.Assert(table.ChangeForDigests(make([]uint64, MaxGroups+1)).Whole, qt.IsTrue)
 	})
 }
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -112,7 +112,7 @@
 	evacuated map[string]bool
 	bounds    coldBounds
 	// sharers are the nodes among which the limits of upstreams are dealt out.
-	sharers chutequota.Owners
+	sharers chutequota.Allocator
 }
 
 // New returns an empty fleet as seen from a zone.
@@ -137,7 +137,7 @@
 	return f.with(id, func(m *member) {
 		m.inFlight++
 		if m.warmup.cold(now) {
-			m.warmup.sent = m.warmup.sent.With(coldSpan, now)
+			m.warmup.sent = m.warmup.sent.WithSpent(coldSpan, now)
 		}
 		if m.limit.named {
 			m.limit = m.limit.withSent(now)
--- a/internal/chutefleet/limit.go
+++ b/internal/chutefleet/limit.go
@@ -44,7 +44,7 @@
 
 // withSent counts a call on its way to a member that names a limit.
 func (l limit) withSent(now time.Time) limit {
-	l.sent = l.sent.With(l.Span, now)
+	l.sent = l.sent.WithSpent(l.Span, now)
 	l.lastAt = now
 
 	return l
@@ -70,7 +70,7 @@
 }
 
 // WithSharers takes in the nodes among which limits are dealt out: those that may send calls.
-func (f Fleet) WithSharers(sharers chutequota.Owners) Fleet {
+func (f Fleet) WithSharers(sharers chutequota.Allocator) Fleet {
 	f.sharers = sharers
 	for _, id := range f.ids() {
 		if m, _ := f.members.Get(id); m.limit.named {
@@ -119,7 +119,7 @@
 func (f Fleet) limitAvailability(m *member, now time.Time) Availability {
 	next := f.trialAt(m)
 	if m.limit.Quota > 0 {
-		next = m.limit.sent.Next(m.limit.Quota, m.limit.Span, now)
+		next = m.limit.sent.NextAt(m.limit.Quota, m.limit.Span, now)
 	}
 	if next.After(now) {
 		return Availability{Bar: BarLimited, Until: next}
@@ -152,7 +152,7 @@
 // the limit still holds.
 func (f Fleet) trialAt(m *member) time.Time {
 	perSecond := trialPart * max(lowestLimit, m.limit.PerSecond)
-	pause := max(trialPause, time.Duration(float64(f.sharers.Len())/perSecond*float64(time.Second)))
+	pause := max(trialPause, time.Duration(float64(f.sharers.NodeCount())/perSecond*float64(time.Second)))
 	if m.limit.lastAt.After(m.limit.heardAt) {
 		return m.limit.lastAt.Add(pause)
 	}
--- a/internal/chutefleet/warmup.go
+++ b/internal/chutefleet/warmup.go
@@ -22,7 +22,7 @@
 // coldBounds are the bounds by pool with the owners that deal them out; never changed.
 type coldBounds struct {
 	pools  map[string]ColdBound
-	owners chutequota.Owners
+	owners chutequota.Allocator
 }
 
 // warmup is what is known of an upstream's being cold.
@@ -58,7 +58,7 @@
 
 		return Availability{Bar: BarCold, Until: until}
 	}
-	if next := w.sent.Next(w.quota, coldSpan, now); next.After(now) {
+	if next := w.sent.NextAt(w.quota, coldSpan, now); next.After(now) {
 		return Availability{Bar: BarCold, Until: next}
 	}
 
@@ -75,7 +75,7 @@
 
 // WithNodes takes in the names of all nodes, and which of them is this one.
 func (f Fleet) WithNodes(self string, nodes []string) Fleet {
-	f.bounds.owners = chutequota.NewOwners(self, nodes)
+	f.bounds.owners = chutequota.NewAllocator(self, nodes)
 
 	return f.withQuotas()
 }
--- a/internal/chutegate/localtable.go
+++ b/internal/chutegate/localtable.go
@@ -80,7 +80,7 @@
 	c := chutefeed.Change{Version: p.Version, Rows: local.rowsOfPage(p)}
 	for _, row := range p.Rows {
 		if row.Deleted {
-			c.Gone = append(c.Gone, row.Key)
+			c.DeletedKeys = append(c.DeletedKeys, row.Key)
 		}
 	}
 
@@ -155,8 +155,8 @@
 	}
 	first := !local.synced
 	local.synced = true
-	next := local.table.With(c)
-	if next.Same(local.table) {
+	next := local.table.WithChange(c)
+	if next.HasSameRows(local.table) {
 		local.table = local.table.WithVersion(c.Version)
 
 		return first
--- a/internal/chutegate/localtable_test.go
+++ b/internal/chutegate/localtable_test.go
@@ -182,7 +182,7 @@
 		decoded := map[string]decodedEntry{}
 		n.decodeUpstreams(table, decoded)
 		decodeCalls = 0
-		table = table.With(chutefeed.Change{Version: 2, Rows: []chutefeed.Row{{Key: "u3", Value: []byte("leaving")}}, Gone: []string{"u4"}})
+		table = table.WithChange(chutefeed.Change{Version: 2, Rows: []chutefeed.Row{{Key: "u3", Value: []byte("leaving")}}, DeletedKeys: []string{"u4"}})
 		list, ok := n.decodeUpstreams(table, decoded)
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(list, qt.HasLen, 2999)
--- a/internal/chutegate/metrics.go
+++ b/internal/chutegate/metrics.go
@@ -44,7 +44,7 @@
 	n.meter.Gauge("upstreams_ended_under_requests_total", func() float64 { return float64(n.upstreamCrashes.Load()) })
 	n.meter.Gauge("requests_quarantined", func() float64 {
 		held := 0
-		n.Query(func(s chutecore.State) { held = len(s.Relay().Quarantine().Held(n.Now())) })
+		n.Query(func(s chutecore.State) { held = len(s.Relay().Quarantine().Quarantined(n.Now())) })
 
 		return float64(held)
 	})
--- a/internal/chutegate/quarantine.go
+++ b/internal/chutegate/quarantine.go
@@ -212,7 +212,7 @@
 	markLoaded := sync.OnceFunc(func() { close(n.quarantineLoaded) })
 	n.keepCurrent(ctx, local, peersPollWait, quarantineReadInterval, func() {
 		table := local.snapshot()
-		newRows := table.Since(previous).Rows
+		newRows := table.ChangeSince(previous).Rows
 		previous = table
 		for _, row := range newRows {
 			n.knownReports.addIfNew(row)
@@ -235,8 +235,8 @@
 		if isLimit {
 			limits.Limits = append(limits.Limits, limit)
 		}
-		crash, isCrash, err := chutequarantine.ReadCrash(row.Key, row.Value)
-		judgement, isJudgement, judgementErr := chutequarantine.ReadJudgement(row.Key, row.Value)
+		crash, isCrash, err := chutequarantine.DecodeCrash(row.Key, row.Value)
+		judgement, isJudgement, judgementErr := chutequarantine.DecodeJudgement(row.Key, row.Value)
 		if isCrash {
 			reports.Crashes = append(reports.Crashes, crash)
 		}
@@ -270,7 +270,7 @@
 }
 
 // rowsToPurge returns the keys of the rows to remove, up to maxReportsPerBatch: rows that have been
-// there for chutequarantine.Life, and the oldest crashes if there are more than maxQuarantineRows
+// there for chutequarantine.TTL, and the oldest crashes if there are more than maxQuarantineRows
 // rows. It records in firstSeen when this node first saw each row.
 func rowsToPurge(table chutefeed.Table, firstSeen map[string]time.Time, now time.Time) []string {
 	var old []string
@@ -280,7 +280,7 @@
 		if !known {
 			firstSeen[row.Key] = now
 		}
-		if known && now.Sub(since) >= chutequarantine.Life {
+		if known && now.Sub(since) >= chutequarantine.TTL {
 			old = append(old, row.Key)
 		} else if strings.HasPrefix(row.Key, chutequarantine.CrashPrefix) {
 			crashes = append(crashes, row)
--- a/internal/chutegate/quarantine_test.go
+++ b/internal/chutegate/quarantine_test.go
@@ -38,7 +38,7 @@
 		}
 		waitUntil(func() bool {
 			held := false
-			n.Query(func(s chutecore.State) { _, held = s.Relay().Quarantine().Holds(fingerprint) })
+			n.Query(func(s chutecore.State) { _, held = s.Relay().Quarantine().QuarantinedUntil(fingerprint) })
 
 			return held
 		})
@@ -193,8 +193,8 @@
 		firstSeen := map[string]time.Time{}
 		table := chutefeed.NewTable([]chutefeed.Row{crash(0), {Key: chutequarantine.JudgementPrefix + "f"}}, 5)
 		c.Assert(rowsToPurge(table, firstSeen, now), qt.HasLen, 0)
-		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.Life-1)), qt.HasLen, 0)
-		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.Life)), qt.HasLen, 2)
+		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.TTL-1)), qt.HasLen, 0)
+		c.Assert(rowsToPurge(table, firstSeen, now.Add(chutequarantine.TTL)), qt.HasLen, 2)
 		c.Assert(rowsToPurge(chutefeed.NewTable(nil, 6), firstSeen, now), qt.HasLen, 0)
 		c.Assert(firstSeen, qt.HasLen, 0)
 	})
--- a/internal/chutequarantine/bench_test.go
+++ b/internal/chutequarantine/bench_test.go
@@ -37,7 +37,7 @@
 func BenchmarkHolds(b *testing.B) {
 	q := full()
 	for b.Loop() {
-		q.Holds("00000000000000000000000000001234")
+		q.QuarantinedUntil("00000000000000000000000000001234")
 	}
 }
 
@@ -48,7 +48,7 @@
 	q := full()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	crash, _ := json.Marshal(q.Known("upstream-7"))
+	crash, _ := json.Marshal(q.KnownCrash("upstream-7"))
 	judgement, _ := json.Marshal(Judgement{
 		Suspect: suspects(fmt.Sprintf("%032d", 1))[0], Verdict: VerdictQuarantined, Upstreams: []string{"i-0b451d9786", "i-1623bee6ce", "i-757df45139"},
 	})
--- a/internal/chutequarantine/judge.go
+++ b/internal/chutequarantine/judge.go
@@ -100,10 +100,10 @@
 func (q Quarantine) nextVerdicts(suspects []string, events map[string]*event) []Judgement {
 	var candidates []candidate
 	for _, fingerprint := range suspects {
-		if _, held := q.Holds(fingerprint); held {
+		if _, held := q.QuarantinedUntil(fingerprint); held {
 			continue
 		}
-		at := q.Suspected(fingerprint)
+		at := q.EvidenceAgainst(fingerprint)
 		if n := weigh(at, events); n >= sure {
 			candidates = append(candidates, candidate{upstreams: at, weight: n})
 		}
@@ -189,7 +189,7 @@
 	first, _ := q.crashes.Get(upstreams[0])
 	var all []Suspect
 	for _, s := range first.Suspects {
-		against := q.Suspected(s.Fingerprint)
+		against := q.EvidenceAgainst(s.Fingerprint)
 		if !slices.ContainsFunc(upstreams, func(u string) bool { return !slices.Contains(against, u) }) {
 			all = append(all, s)
 		}
--- a/internal/chutequarantine/quarantine.go
+++ b/internal/chutequarantine/quarantine.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// Life is how long a crash and a judgement count. A poison request that comes for
+	// TTL is how long a crash and a judgement count. A poison request that comes for
 	// longer costs as many upstreams again each time it is forgotten: three an hour. A
 	// request that is harmless by now, since a model was mended, comes free after it.
-	Life = time.Hour
+	TTL = time.Hour
 	// maxCrashes bounds the crashes that are kept; beyond, the oldest is dropped. Three
 	// times the upstreams of the largest site may end in one hour.
 	maxCrashes = 2048
@@ -234,18 +234,18 @@
 	return q
 }
 
-// Holds says whether a request is set aside, and until when.
-func (q Quarantine) Holds(fingerprint string) (until time.Time, held bool) {
+// QuarantinedUntil says whether a request is set aside, and until when.
+func (q Quarantine) QuarantinedUntil(fingerprint string) (until time.Time, held bool) {
 	j, ok := q.judgements.Get(fingerprint)
 	if !ok || j.Verdict != VerdictQuarantined {
 		return time.Time{}, false
 	}
 
-	return j.heardAt.Add(Life), true
+	return j.heardAt.Add(TTL), true
 }
 
-// Suspected lists the upstreams whose ends speak against a request by now.
-func (q Quarantine) Suspected(fingerprint string) []string {
+// EvidenceAgainst lists the upstreams whose ends speak against a request by now.
+func (q Quarantine) EvidenceAgainst(fingerprint string) []string {
 	at, _ := q.crashesOf.Get(fingerprint)
 	void, _ := q.voids.Get(fingerprint)
 
@@ -257,25 +257,25 @@
 	c, _ := q.crashes.Get(upstream)
 
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool {
-		_, held := q.Holds(s.Fingerprint)
+		_, held := q.QuarantinedUntil(s.Fingerprint)
 
 		return held && s.Fingerprint != fingerprint
 	})
 }
 
-// Known returns a crash as it is known; its incarnation is empty if it is not.
-func (q Quarantine) Known(upstream string) Crash {
+// KnownCrash returns a crash as it is known; its incarnation is empty if it is not.
+func (q Quarantine) KnownCrash(upstream string) Crash {
 	c, _ := q.crashes.Get(upstream)
 
 	return c.Crash
 }
 
-// Held lists the requests that are set aside at a time, by fingerprint.
-func (q Quarantine) Held(now time.Time) []Judgement {
+// Quarantined lists the requests that are set aside at a time, by fingerprint.
+func (q Quarantine) Quarantined(now time.Time) []Judgement {
 	var held []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
-		if until, ok := q.Holds(j.Fingerprint); ok && now.Before(until) {
+		if until, ok := q.QuarantinedUntil(j.Fingerprint); ok && now.Before(until) {
 			held = append(held, j.Judgement)
 		}
 	}
@@ -295,20 +295,20 @@
 	return all
 }
 
-// Len counts the crashes that are known.
-func (q Quarantine) Len() int {
+// CrashCount counts the crashes that are known.
+func (q Quarantine) CrashCount() int {
 	return q.crashes.Len()
 }
 
 // Expire forgets what is older than Life.
 func (q Quarantine) Expire(now time.Time) Quarantine {
 	for i := q.crashes.Iterator(); !i.Done(); {
-		if _, c, _ := i.Next(); now.Sub(c.heardAt) >= Life {
+		if _, c, _ := i.Next(); now.Sub(c.heardAt) >= TTL {
 			q = q.withoutCrash(c)
 		}
 	}
 	for i := q.judgements.Iterator(); !i.Done(); {
-		if _, j, _ := i.Next(); now.Sub(j.heardAt) >= Life {
+		if _, j, _ := i.Next(); now.Sub(j.heardAt) >= TTL {
 			q.judgements = q.judgements.Delete(j.Fingerprint)
 		}
 	}
--- a/internal/chutequarantine/quarantine_test.go
+++ b/internal/chutequarantine/quarantine_test.go
@@ -59,7 +59,7 @@
 
 // answered tells that an upstream has answered a request.
 func (w *world) answered(fingerprint string) {
-	if at := w.q.Suspected(fingerprint); len(at) > 0 {
+	if at := w.q.EvidenceAgainst(fingerprint); len(at) > 0 {
 		w.q, _ = w.q.WithJudgement(Judgement{
 			Suspect: Suspect{Fingerprint: fingerprint}, Verdict: VerdictCleared, Upstreams: at,
 		}, w.now)
@@ -69,7 +69,7 @@
 func (w *world) expectHeld(fingerprints ...string) {
 	w.Helper()
 	var held []string
-	for _, j := range w.q.Held(w.now) {
+	for _, j := range w.q.Quarantined(w.now) {
 		held = append(held, j.Fingerprint)
 	}
 	w.Assert(held, qt.ContentEquals, fingerprints)
@@ -93,7 +93,7 @@
 		w.event([]string{"p", "b"})
 		w.event([]string{"c", "p"})
 		w.expectHeld("p")
-		w.Assert(w.q.Suspected("b"), qt.HasLen, 0)
+		w.Assert(w.q.EvidenceAgainst("b"), qt.HasLen, 0)
 		w.event([]string{"b"})
 		w.expectHeld("p")
 	})
@@ -185,7 +185,7 @@
 		w.event([]string{"a"})
 		w.event([]string{"a"})
 		w.expectHeld()
-		w.Assert(w.q.Suspected("a"), qt.HasLen, 2)
+		w.Assert(w.q.EvidenceAgainst("a"), qt.HasLen, 2)
 	})
 
 	t.Run("a verdict that comes after the word that cleared it is left out", func(t *testing.T) {
@@ -229,7 +229,7 @@
 			w.event([]string{"p"})
 		}
 		w.q, _ = w.q.WithJudgement(Judgement{
-			Suspect: Suspect{Fingerprint: "p"}, Verdict: VerdictLifted, Upstreams: w.q.Suspected("p"),
+			Suspect: Suspect{Fingerprint: "p"}, Verdict: VerdictLifted, Upstreams: w.q.EvidenceAgainst("p"),
 		}, w.now)
 		w.expectHeld()
 		w.event([]string{"p"})
@@ -246,11 +246,11 @@
 		for range 3 {
 			w.event([]string{"p"})
 		}
-		w.pass(Life)
+		w.pass(TTL)
 		w.q = w.q.Expire(w.now)
 		w.expectHeld()
-		w.Assert(w.q.Len(), qt.Equals, 0)
-		w.Assert(w.q.Suspected("p"), qt.HasLen, 0)
+		w.Assert(w.q.CrashCount(), qt.Equals, 0)
+		w.Assert(w.q.EvidenceAgainst("p"), qt.HasLen, 0)
 	})
 
 	t.Run("of too many crashes the oldest goes", func(t *testing.T) {
@@ -259,9 +259,9 @@
 			w.crash(fmt.Sprint("f", i))
 			w.now = w.now.Add(time.Millisecond)
 		}
-		w.Assert(w.q.Len(), qt.Equals, maxCrashes)
-		w.Assert(w.q.Suspected("f0"), qt.HasLen, 0)
-		w.Assert(w.q.Suspected("f1"), qt.HasLen, 1)
+		w.Assert(w.q.CrashCount(), qt.Equals, maxCrashes)
+		w.Assert(w.q.EvidenceAgainst("f0"), qt.HasLen, 0)
+		w.Assert(w.q.EvidenceAgainst("f1"), qt.HasLen, 1)
 	})
 
 	t.Run("whoever fills the quarantine pushes out its own", func(t *testing.T) {
@@ -277,7 +277,7 @@
 			held("loud", fmt.Sprint("f", i))
 		}
 		w.Assert(len(w.q.Judgements()), qt.Equals, maxJudgements)
-		_, ok := w.q.Holds("q")
+		_, ok := w.q.QuarantinedUntil("q")
 		w.Assert(ok, qt.IsTrue)
 	})
 }
@@ -313,7 +313,7 @@
 	switch rapid.SampledFrom([]string{"poison", "poison", "plain", "rack", "answer"}).Draw(d.t, "what") {
 	case "poison":
 		p := fmt.Sprint("p", rapid.IntRange(1, poison).Draw(d.t, "which"))
-		if _, held := d.q.Holds(p); !held {
+		if _, held := d.q.QuarantinedUntil(p); !held {
 			d.events[p]++
 			d.event(append(d.innocents(), p))
 		}
@@ -341,7 +341,7 @@
 		for range rapid.IntRange(1, 40).Draw(t, "events") {
 			d.step(poison)
 		}
-		for _, j := range d.q.Held(d.now) {
+		for _, j := range d.q.Quarantined(d.now) {
 			if j.Fingerprint[0] != 'p' {
 				t.Fatalf("%s is set aside for %v", j.Fingerprint, j.Upstreams)
 			}
--- a/internal/chutequarantine/row.go
+++ b/internal/chutequarantine/row.go
@@ -24,8 +24,8 @@
 	return JudgementPrefix + fingerprint
 }
 
-// ReadCrash decodes a crash's row; ok is false for other rows.
-func ReadCrash(key string, value []byte) (c Crash, ok bool, err error) {
+// DecodeCrash decodes a crash's row; ok is false for other rows.
+func DecodeCrash(key string, value []byte) (c Crash, ok bool, err error) {
 	if !strings.HasPrefix(key, CrashPrefix) {
 		return Crash{}, false, nil
 	}
@@ -36,8 +36,8 @@
 	return c, err == nil, err
 }
 
-// ReadJudgement decodes a judgement's row; ok is false for other rows.
-func ReadJudgement(key string, value []byte) (j Judgement, ok bool, err error) {
+// DecodeJudgement decodes a judgement's row; ok is false for other rows.
+func DecodeJudgement(key string, value []byte) (j Judgement, ok bool, err error) {
 	fingerprint, is := strings.CutPrefix(key, JudgementPrefix)
 	if !is {
 		return Judgement{}, false, nil
--- a/internal/chutequota/owners.go
+++ b/internal/chutequota/owners.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owners deals whole numbers out to the nodes of a list; immutable.
-type Owners struct {
+// Allocator deals whole numbers out to the nodes of a list; immutable.
+type Allocator struct {
 	// nodes are the hashes of all listed nodes' names.
 	nodes []uint64
 	self  uint64
@@ -15,9 +15,9 @@
 	listed bool
 }
 
-// NewOwners returns the owners as a node works them out from a list of nodes' names.
-func NewOwners(self string, nodes []string) Owners {
-	o := Owners{self: xxhash.Sum64String(self), listed: slices.Contains(nodes, self)}
+// NewAllocator returns the owners as a node works them out from a list of nodes' names.
+func NewAllocator(self string, nodes []string) Allocator {
+	o := Allocator{self: xxhash.Sum64String(self), listed: slices.Contains(nodes, self)}
 	for _, node := range nodes {
 		o.nodes = append(o.nodes, xxhash.Sum64String(node))
 	}
@@ -25,8 +25,8 @@
 	return o
 }
 
-// Len returns the number of nodes among which is dealt.
-func (o Owners) Len() int {
+// NodeCount returns the number of nodes among which is dealt.
+func (o Allocator) NodeCount() int {
 	return len(o.nodes)
 }
 
@@ -37,7 +37,7 @@
 // Where lists of nodes differ by some, so do the owners by as many at most, and each of them
 // adds its part. A node that is not on its own list owns nothing, and neither does one that
 // knows no list.
-func (o Owners) Quota(thing string, whole int) int {
+func (o Allocator) Quota(thing string, whole int) int {
 	if whole <= 0 || !o.listed {
 		return 0
 	}
--- a/internal/chutequota/owners_test.go
+++ b/internal/chutequota/owners_test.go
@@ -30,7 +30,7 @@
 			all := names(test.nodes)
 			sum, owners := 0, 0
 			for _, node := range all {
-				quota := NewOwners(node, all).Quota("u", test.whole)
+				quota := NewAllocator(node, all).Quota("u", test.whole)
 				sum += quota
 				if quota > 0 {
 					owners++
@@ -43,8 +43,8 @@
 
 	t.Run("a node that is not on its list, or knows none, owns nothing", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(NewOwners("n0", nil).Quota("u", 13), qt.Equals, 0)
-		c.Assert(NewOwners("n0", []string{"n1"}).Quota("u", 13), qt.Equals, 0)
+		c.Assert(NewAllocator("n0", nil).Quota("u", 13), qt.Equals, 0)
+		c.Assert(NewAllocator("n0", []string{"n1"}).Quota("u", 13), qt.Equals, 0)
 	})
 
 	t.Run("lists that differ by some nodes deal out as many units more at most", rapid.MakeCheck(func(t *rapid.T) {
@@ -59,7 +59,7 @@
 			if rapid.Bool().Draw(t, "heard") {
 				list = fewer
 			}
-			sum += NewOwners(node, list).Quota("u", whole)
+			sum += NewAllocator(node, list).Quota("u", whole)
 		}
 		if sum > whole+gone {
 			t.Fatalf("%d units in place of %d with %d nodes gone", sum, whole, gone)
--- a/internal/chutequota/window.go
+++ b/internal/chutequota/window.go
@@ -8,8 +8,8 @@
 	spent []time.Time
 }
 
-// With returns the window with one unit spent.
-func (w Window) With(span time.Duration, now time.Time) Window {
+// WithSpent returns the window with one unit spent.
+func (w Window) WithSpent(span time.Duration, now time.Time) Window {
 	var spent []time.Time
 	for _, at := range w.spent {
 		if now.Sub(at) < span {
@@ -20,8 +20,8 @@
 	return Window{spent: append(spent, now)}
 }
 
-// Next returns when the next unit may be spent under a quota above 0; not after now if at once.
-func (w Window) Next(quota int, span time.Duration, now time.Time) time.Time {
+// NextAt returns when the next unit may be spent under a quota above 0; not after now if at once.
+func (w Window) NextAt(quota int, span time.Duration, now time.Time) time.Time {
 	if len(w.spent) < quota {
 		return now
 	}
--- a/internal/chutequota/window_test.go
+++ b/internal/chutequota/window_test.go
@@ -19,10 +19,10 @@
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "wanted") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			if w.Next(quota, span, now).After(now) {
+			if w.NextAt(quota, span, now).After(now) {
 				continue
 			}
-			w = w.With(span, now)
+			w = w.WithSpent(span, now)
 			sent = append(sent, now)
 		}
 		for i := quota; i < len(sent); i++ {
@@ -34,8 +34,8 @@
 
 	t.Run("the time of the next call is told", func(t *testing.T) {
 		c := qt.New(t)
-		w := Window{}.With(span, start)
-		c.Assert(w.Next(2, span, start), qt.Equals, start)
-		c.Assert(w.With(span, start.Add(time.Millisecond)).Next(2, span, start), qt.Equals, start.Add(span))
+		w := Window{}.WithSpent(span, start)
+		c.Assert(w.NextAt(2, span, start), qt.Equals, start)
+		c.Assert(w.WithSpent(span, start.Add(time.Millisecond)).NextAt(2, span, start), qt.Equals, start.Add(span))
 	})
 }
--- a/internal/chuterelay/budget.go
+++ b/internal/chuterelay/budget.go
@@ -92,7 +92,7 @@
 	switch {
 	case s.settings.Retries.Slack < 1:
 		return 0
-	case s.peersListedAt.IsZero() || now.Sub(s.peersListedAt) < s.settings.Retries.Memory():
+	case s.peersListedAt.IsZero() || now.Sub(s.peersListedAt) < s.settings.Retries.RetentionTime():
 		return startupSlack
 	case share < minDividedSlack:
 		return share
@@ -103,19 +103,19 @@
 
 // departedShareTime returns how long a node that has left the list keeps its share of the slack.
 func (s State) departedShareTime() time.Duration {
-	return departedWindows * s.settings.Retries.Span()
+	return departedWindows * s.settings.Retries.WindowLength()
 }
 
 // countFirstCalls adds n first calls or parts to a budget.
 func (st *reduction) countFirstCalls(key budgetKey, n int) {
 	budget, _ := st.budgets.Get(key)
-	st.budgets = st.budgets.Set(key, budget.WithFirst(st.settings.Retries, n, st.now))
+	st.budgets = st.budgets.Set(key, budget.WithFirstCalls(st.settings.Retries, n, st.now))
 }
 
 // countRepeats adds n repeats to a budget.
 func (st *reduction) countRepeats(key budgetKey, n int) {
 	budget, _ := st.budgets.Get(key)
-	st.budgets = st.budgets.Set(key, budget.WithSpent(st.settings.Retries, n, st.now))
+	st.budgets = st.budgets.Set(key, budget.WithRetries(st.settings.Retries, n, st.now))
 }
 
 // repeatsLeft returns how many repeats an account allows now.
@@ -141,7 +141,7 @@
 }
 
 func (s State) budgetView(a account, now time.Time) BudgetView {
-	return BudgetView{Counts: s.counts(a, now), Pool: a.pool, Collecting: a.collecting, Nodes: s.peers.sharers(now).Len()}
+	return BudgetView{Counts: s.counts(a, now), Pool: a.pool, Collecting: a.collecting, Nodes: s.peers.sharers(now).NodeCount()}
 }
 
 // budgetForLog returns a pool's current retry budget for the log.
--- a/internal/chuterelay/budget_sim_test.go
+++ b/internal/chuterelay/budget_sim_test.go
@@ -158,7 +158,7 @@
 	if n.Step != StepRepeatRefused {
 		return
 	}
-	from := w.now.Add(-w.settings.Span())
+	from := w.now.Add(-w.settings.WindowLength())
 	if float64(w.count(w.repeats, from)+1) <= w.allowed(from) {
 		w.starved++
 	}
@@ -281,7 +281,7 @@
 // count counts the times of one window.
 func (w *budgetWorld) count(sorted []time.Time, from time.Time) int {
 	first, _ := slices.BinarySearchFunc(sorted, from, time.Time.Compare)
-	last, _ := slices.BinarySearchFunc(sorted, from.Add(w.settings.Span()), time.Time.Compare)
+	last, _ := slices.BinarySearchFunc(sorted, from.Add(w.settings.WindowLength()), time.Time.Compare)
 
 	return last - first
 }
@@ -290,7 +290,7 @@
 // it, in the one before, or in the one half a window before, and the slack.
 func (w *budgetWorld) allowed(from time.Time) float64 {
 	most := 0
-	for _, earlier := range []time.Duration{0, w.settings.Span() / 2, w.settings.Span()} {
+	for _, earlier := range []time.Duration{0, w.settings.WindowLength() / 2, w.settings.WindowLength()} {
 		most = max(most, w.count(w.requests, from.Add(-earlier)))
 	}
 
--- a/internal/chuterelay/budget_test.go
+++ b/internal/chuterelay/budget_test.go
@@ -52,7 +52,7 @@
 		n.on(PeersListed{Peers: listOf(2)})
 		n.on(UpstreamsListed{Upstreams: testUpstreams()})
 		n.Assert(n.repeats(10), qt.Equals, 1)
-		n.pass(slackOnly.Memory())
+		n.pass(slackOnly.RetentionTime())
 		n.Assert(n.repeats(10), qt.Equals, 3)
 	})
 
@@ -74,7 +74,7 @@
 		n.on(PeersListed{Peers: listOf(4)})
 		n.on(PeersListed{Peers: listOf(1)})
 		n.Assert(n.repeats(10), qt.Equals, 2)
-		n.pass(departedWindows * slackOnly.Span())
+		n.pass(departedWindows * slackOnly.WindowLength())
 		n.Assert(n.repeats(10), qt.Equals, 7)
 	})
 
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -88,7 +88,7 @@
 
 		return
 	}
-	job.Isolated = len(st.quarantine.Suspected(job.Fingerprint)) > 0
+	job.Isolated = len(st.quarantine.EvidenceAgainst(job.Fingerprint)) > 0
 	if !st.collector.Admits(job, st.waitsAhead(job), st.now) {
 		st.rejectJob(chutebatch.FailedJob{Job: job, Reason: chutebatch.PartOverloaded})
 
--- a/internal/chuterelay/evacuate_sim_test.go
+++ b/internal/chuterelay/evacuate_sim_test.go
@@ -56,11 +56,11 @@
 
 // write puts a row into the store, or deletes it.
 func (s *evacSim) write(key string, there bool) {
-	c := chutefeed.Change{Version: s.store.Version() + 1, Gone: []string{key}}
+	c := chutefeed.Change{Version: s.store.Version() + 1, DeletedKeys: []string{key}}
 	if there {
 		c = chutefeed.Change{Version: s.store.Version() + 1, Rows: []chutefeed.Row{{Key: key, Value: []byte("{}")}}}
 	}
-	s.store = s.store.With(c)
+	s.store = s.store.WithChange(c)
 }
 
 // begin starts a node that knows nothing but the upstreams and the other nodes.
@@ -130,7 +130,7 @@
 	if from.Version() <= n.table.Version() {
 		return
 	}
-	n.table = n.table.With(from.Missing(n.table.Digests()))
+	n.table = n.table.WithChange(from.ChangeForDigests(n.table.Digests()))
 	var zones []string
 	for _, row := range n.table.Rows() {
 		if zone, ok := strings.CutPrefix(row.Key, evacPrefix); ok {
--- a/internal/chuterelay/peers.go
+++ b/internal/chuterelay/peers.go
@@ -94,7 +94,7 @@
 
 // sharers returns the nodes among which the common limits and budgets are divided: those on the
 // list, and those that have left it and may still be at work.
-func (p peers) sharers(now time.Time) chutequota.Owners {
+func (p peers) sharers(now time.Time) chutequota.Allocator {
 	names := p.names()
 	for name, until := range p.leftNodes {
 		if now.Before(until) {
@@ -102,7 +102,7 @@
 		}
 	}
 
-	return chutequota.NewOwners(p.self.Name, names)
+	return chutequota.NewAllocator(p.self.Name, names)
 }
 
 // withLost skips a peer for a pause; silent says that nothing at all came back from it.
--- a/internal/chuterelay/quarantine.go
+++ b/internal/chuterelay/quarantine.go
@@ -28,7 +28,7 @@
 // its caller, at any node. Without the quarantine it takes one upstream after another out of its
 // pool, each with all other calls that run there.
 func (st *reduction) quarantineRefusalFor(fingerprint string) (Refusal, bool) {
-	until, quarantined := st.quarantine.Holds(fingerprint)
+	until, quarantined := st.quarantine.QuarantinedUntil(fingerprint)
 	if !quarantined || !st.now.Before(until) {
 		return Refusal{}, false
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	st.emit(LogCrash{Crash: crash, Evidence: evidence})
-	st.emit(AnnounceCrash{Crash: st.quarantine.Known(u.ID)})
+	st.emit(AnnounceCrash{Crash: st.quarantine.KnownCrash(u.ID)})
 	st.scheduleJudgement()
 }
 
@@ -84,7 +84,7 @@
 // clearSuspicion clears a request that an upstream has answered: it was not the cause of crashes
 // of upstreams that ran it.
 func (st *reduction) clearSuspicion(r request) {
-	upstreams := st.quarantine.Suspected(r.Fingerprint)
+	upstreams := st.quarantine.EvidenceAgainst(r.Fingerprint)
 	if len(upstreams) == 0 {
 		return
 	}
--- a/internal/chuterelay/quarantine_sim_test.go
+++ b/internal/chuterelay/quarantine_sim_test.go
@@ -267,7 +267,7 @@
 	if poison(s.Fingerprint) {
 		return
 	}
-	if _, held := n.state.quarantine.Holds(s.Fingerprint); held {
+	if _, held := n.state.quarantine.QuarantinedUntil(s.Fingerprint); held {
 		w.refused = append(w.refused, s.Fingerprint)
 	}
 	if !strings.HasSuffix(s.ID, "again") {
--- a/internal/chuterelay/quarantine_test.go
+++ b/internal/chuterelay/quarantine_test.go
@@ -63,7 +63,7 @@
 
 func (n *node) expectHeld(fingerprint string, want bool) {
 	n.Helper()
-	_, held := n.state.quarantine.Holds(fingerprint)
+	_, held := n.state.quarantine.QuarantinedUntil(fingerprint)
 	n.Assert(held, qt.Equals, want)
 }
 
@@ -106,7 +106,7 @@
 	t.Run("after an hour it is taken in again", func(t *testing.T) {
 		n := newNode(t)
 		n.elsewhere("p", "a", "b", "c")
-		n.pass(chutequarantine.Life)
+		n.pass(chutequarantine.TTL)
 		n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "p"))
 	})
 
--- a/internal/chuterelay/view.go
+++ b/internal/chuterelay/view.go
@@ -54,7 +54,7 @@
 func (s State) View(now time.Time) View {
 	v := View{
 		Version: s.config.Version, Draining: s.draining, InFlight: s.requests.Len(), Upstreams: s.fleet.Views(now),
-		Quarantined: s.quarantine.Held(now), Evacuated: s.fleet.EvacuatedZones(),
+		Quarantined: s.quarantine.Quarantined(now), Evacuated: s.fleet.EvacuatedZones(),
 		Budgets: s.budgetViews(now),
 	}
 	for i := s.requests.Iterator(); !i.Done(); {
--- a/internal/chuteshare/pack.go
+++ b/internal/chuteshare/pack.go
@@ -32,7 +32,7 @@
 
 // encode writes a change, packed if it is a long table.
 func (p *packs) encode(table string, c chutefeed.Change) (*chutesharepb.Change, error) {
-	change := &chutesharepb.Change{Version: c.Version, Whole: c.Whole, Groups: c.Groups, Gone: c.Gone}
+	change := &chutesharepb.Change{Version: c.Version, Whole: c.Whole, Groups: c.Groups, Gone: c.DeletedKeys}
 	if !c.Whole || len(c.Rows) < packFrom {
 		change.Rows = encodeRows(c.Rows)
 
@@ -114,7 +114,7 @@
 		}
 	}
 	c := chutefeed.Change{
-		Version: m.GetVersion(), Whole: m.GetWhole(), Groups: m.GetGroups(), GroupCount: digests, Gone: m.GetGone(),
+		Version: m.GetVersion(), Whole: m.GetWhole(), Groups: m.GetGroups(), GroupCount: digests, DeletedKeys: m.GetGone(),
 		Rows: decodeRows(rows),
 	}
 
--- a/internal/chuteshare/size_test.go
+++ b/internal/chuteshare/size_test.go
@@ -41,13 +41,13 @@
 		return proto.Size(&chutesharepb.FollowTableUpdate{Current: true, Change: message})
 	}
 	table := upstreamTable(upstreams)
-	later := table.With(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
+	later := table.WithChange(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
 
 	return sizes{
-		start:  size(later.Missing(nil)),
-		change: size(later.Since(table)),
-		moved:  size(later.Missing(table.Digests())) + proto.Size(encodeKnown(table)),
-		sign:   size(later.WithVersion(later.Version() + 1).Since(later)),
+		start:  size(later.ChangeForDigests(nil)),
+		change: size(later.ChangeSince(table)),
+		moved:  size(later.ChangeForDigests(table.Digests())) + proto.Size(encodeKnown(table)),
+		sign:   size(later.WithVersion(later.Version() + 1).ChangeSince(later)),
 	}
 }
 
--- a/internal/chuteshare/tables.go
+++ b/internal/chuteshare/tables.go
@@ -44,7 +44,7 @@
 			return status.Error(codes.Unavailable, "this VM is shutting down")
 		}
 		update := &chutesharepb.FollowTableUpdate{Current: followed.Current, AgeMs: followed.Age.Milliseconds()}
-		change, ok := feed.Next(followed.Table)
+		change, ok := feed.NextChange(followed.Table)
 		if ok {
 			var err error
 			if update.Change, err = s.packs.encode(m.GetTable(), change); err != nil {
@@ -72,7 +72,7 @@
 		return reply, nil
 	}
 	var err error
-	reply.Change, err = s.packs.encode(m.GetTable(), followed.Table.Missing(m.GetKnown().GetDigests()))
+	reply.Change, err = s.packs.encode(m.GetTable(), followed.Table.ChangeForDigests(m.GetKnown().GetDigests()))
 
 	return reply, err
 }
--- a/internal/chuteshare/tables_test.go
+++ b/internal/chuteshare/tables_test.go
@@ -24,7 +24,7 @@
 
 // changed returns the table with one row changed.
 func changed(t chutefeed.Table, key, value string, version uint64) chutefeed.Table {
-	return t.With(chutefeed.Change{Version: version, Rows: []chutefeed.Row{{Key: key, Value: []byte(value), Version: version}}})
+	return t.WithChange(chutefeed.Change{Version: version, Rows: []chutefeed.Row{{Key: key, Value: []byte(value), Version: version}}})
 }
 
 func TestReadTable(t *testing.T) {
@@ -43,7 +43,7 @@
 		change, ok := read(c, chutefeed.Table{})
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(change.Whole, qt.IsTrue)
-		c.Assert(chutefeed.Table{}.With(change).Same(tableOf(500, 7)), qt.IsTrue)
+		c.Assert(chutefeed.Table{}.WithChange(change).HasSameRows(tableOf(500, 7)), qt.IsTrue)
 	})
 
 	t.Run("one that lacks a row gets the rows of its group", func(t *testing.T) {
@@ -53,7 +53,7 @@
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(change.Whole, qt.IsFalse)
 		c.Assert(len(change.Rows) < 60, qt.IsTrue)
-		c.Assert(known.With(change).Same(tableOf(500, 7)), qt.IsTrue)
+		c.Assert(known.WithChange(change).HasSameRows(tableOf(500, 7)), qt.IsTrue)
 	})
 
 	t.Run("one that is as far gets nothing", func(t *testing.T) {
@@ -88,10 +88,10 @@
 
 // until takes changes in until the follower has the table.
 func (f *follower) until(table chutefeed.Table) (rows int) {
-	for !f.table.Same(table) || f.table.Version() != table.Version() {
+	for !f.table.HasSameRows(table) || f.table.Version() != table.Version() {
 		change := <-f.changes
 		rows += len(change.Rows)
-		f.table = f.table.With(change)
+		f.table = f.table.WithChange(change)
 	}
 
 	return rows
@@ -154,17 +154,17 @@
 	c := qt.New(t)
 	p := &packs{}
 	table := tableOf(3000, 7)
-	first, err := p.encode("t", table.Missing(nil))
+	first, err := p.encode("t", table.ChangeForDigests(nil))
 	c.Assert(err, qt.IsNil)
 	plain, err := proto.Marshal(&chutesharepb.RowList{Rows: encodeRows(table.Rows())})
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(first.GetPacked())*2 < len(plain), qt.IsTrue)
-	second, err := p.encode("t", table.WithVersion(9).Missing(nil))
+	second, err := p.encode("t", table.WithVersion(9).ChangeForDigests(nil))
 	c.Assert(err, qt.IsNil)
 	c.Assert(&second.GetPacked()[0], qt.Equals, &first.GetPacked()[0])
 	change, err := decodeChange(second, 0)
 	c.Assert(err, qt.IsNil)
-	c.Assert(chutefeed.Table{}.With(change).Same(table), qt.IsTrue)
+	c.Assert(chutefeed.Table{}.WithChange(change).HasSameRows(table), qt.IsTrue)
 
 	t.Run("what is no packed table is an error", func(t *testing.T) {
 		c := qt.New(t)
