--- a/internal/chutebudget/budget.go
+++ b/internal/chutebudget/budget.go
@@ -16,12 +16,12 @@
 	creditSlots = 5
 	// lateness is how much later than it was decided on a repeat may reach its upstream: the
 	// time that a new connection takes at most, and some for its way.
-	lateness = 500 * time.Millisecond
+	maxSendDelay = 500 * time.Millisecond
 	// maxSlots is the number of slots in which repeats are counted for the shortest window;
 	// the newest is not full.
-	maxSlots = windowSlots + int64(lateness*windowSlots/ShortestWindow) + 1
+	maxSlots = windowSlots + int64(maxSendDelay*windowSlots/ShortestWindow) + 1
 	// unit is one repeat; credits come in parts of it.
-	unit = 1000
+	creditPerRetry = 1000
 )
 
 // Settings bound the repeats of all nodes together in any window.
@@ -45,20 +45,20 @@
 
 // RetentionTime returns how long a repeat counts at least, on its way to the upstream included.
 func (s Settings) RetentionTime() time.Duration {
-	return s.slot() * time.Duration(s.spentSlots())
+	return s.slotLength() * time.Duration(s.retrySlots())
 }
 
 // spentSlots is the number of slots in which repeats are counted.
-func (s Settings) spentSlots() int64 {
-	return windowSlots + s.lateSlots() + 1
+func (s Settings) retrySlots() int64 {
+	return windowSlots + s.sendDelaySlots() + 1
 }
 
 // lateSlots is the number of slots in which a repeat may reach its upstream late.
-func (s Settings) lateSlots() int64 {
-	return int64((lateness + s.slot() - 1) / s.slot())
+func (s Settings) sendDelaySlots() int64 {
+	return int64((maxSendDelay + s.slotLength() - 1) / s.slotLength())
 }
 
-func (s Settings) slot() time.Duration {
+func (s Settings) slotLength() time.Duration {
 	return s.WindowLength() / windowSlots
 }
 
@@ -66,18 +66,18 @@
 //
 // The repeats of a window are paid with the credit of that window and of the time before it in
 // which credit lasts. It is smaller than the ratio by as much as that is longer.
-func (s Settings) credit() float64 {
-	return s.Ratio * unit / (1 + float64(creditSlots+s.lateSlots())/windowSlots)
+func (s Settings) creditPerCall() float64 {
+	return s.Ratio * creditPerRetry / (1 + float64(creditSlots+s.sendDelaySlots())/windowSlots)
 }
 
 // slot is what was counted in one step of the window.
 type slot struct {
-	first int32
-	spent int32
+	firstCalls int32
+	retries    int32
 	// credit is what is left of the first calls' credit, slack what was taken of the slack,
 	// both in parts of a unit.
-	credit int32
-	slack  int32
+	credit     int32
+	slackSpent int32
 }
 
 // Budget counts one pool's first calls and repeats of late, by one window length; immutable.
@@ -101,27 +101,27 @@
 }
 
 // moved begins the slots that have come since, and empties those that the window has left.
-func (b Budget) moved(s Settings, now time.Time) Budget {
-	at := now.UnixNano() / int64(s.slot())
-	for n := max(b.newest+1, at-maxSlots+1); n <= at; n++ {
+func (b Budget) advancedTo(s Settings, now time.Time) Budget {
+	current := now.UnixNano() / int64(s.slotLength())
+	for n := max(b.newest+1, current-maxSlots+1); n <= current; n++ {
 		b.slots[n%maxSlots] = slot{}
 	}
-	b.newest = max(b.newest, at)
+	b.newest = max(b.newest, current)
 
 	return b
 }
 
 // aged returns the slot of an age in slots, 0 for the newest.
-func (b *Budget) aged(age int64) *slot {
+func (b *Budget) slotOfAge(age int64) *slot {
 	return &b.slots[(b.newest-age+maxSlots)%maxSlots]
 }
 
 // WithFirstCalls counts n first calls.
 func (b Budget) WithFirstCalls(s Settings, n int, now time.Time) Budget {
-	b = b.moved(s, now)
-	newest := b.aged(0)
-	newest.first += int32(n)                        //nolint:gosec // calls of a fraction of a second
-	newest.credit += int32(s.credit() * float64(n)) //nolint:gosec // as above
+	b = b.advancedTo(s, now)
+	newest := b.slotOfAge(0)
+	newest.firstCalls += int32(n)                          //nolint:gosec // calls of a fraction of a second
+	newest.credit += int32(s.creditPerCall() * float64(n)) //nolint:gosec // as above
 
 	return b
 }
@@ -129,36 +129,36 @@
 // WithRetries counts n repeats. They are paid with credit, the oldest first, and what that lacks
 // with slack, so that parts of a repeat that few calls have earned are of use, too.
 func (b Budget) WithRetries(s Settings, n int, now time.Time) Budget {
-	b = b.moved(s, now)
-	b.aged(0).spent += int32(n) //nolint:gosec // calls of a fraction of a second
-	price := int32(n * unit)    //nolint:gosec // as above
+	b = b.advancedTo(s, now)
+	b.slotOfAge(0).retries += int32(n)  //nolint:gosec // calls of a fraction of a second
+	unpaid := int32(n * creditPerRetry) //nolint:gosec // as above
 	for age := int64(creditSlots - 1); age >= 0; age-- {
-		paid := min(price, b.aged(age).credit)
-		b.aged(age).credit -= paid
-		price -= paid
+		paid := min(unpaid, b.slotOfAge(age).credit)
+		b.slotOfAge(age).credit -= paid
+		unpaid -= paid
 	}
-	b.aged(0).slack += price
+	b.slotOfAge(0).slackSpent += unpaid
 
 	return b
 }
 
 // Counts returns what the budget allows now, with a part of the slack.
 func (b Budget) Counts(s Settings, slack int, now time.Time) Counts {
-	b = b.moved(s, now)
+	b = b.advancedTo(s, now)
 	c := Counts{Slack: slack}
-	credit, taken := 0, 0
-	for age := range s.spentSlots() {
-		at := b.aged(age)
-		c.Spent += int(at.spent)
-		taken += int(at.slack)
+	credit, slackSpent := 0, 0
+	for age := range s.retrySlots() {
+		counted := b.slotOfAge(age)
+		c.Spent += int(counted.retries)
+		slackSpent += int(counted.slackSpent)
 		if age < windowSlots {
-			c.First += int(at.first)
+			c.First += int(counted.firstCalls)
 		}
 		if age < creditSlots {
-			credit += int(at.credit)
+			credit += int(counted.credit)
 		}
 	}
-	c.Left = (credit + max(0, slack*unit-taken)) / unit
+	c.Left = (credit + max(0, slack*creditPerRetry-slackSpent)) / creditPerRetry
 
 	return c
 }
--- a/internal/chutebudget/budget_test.go
+++ b/internal/chutebudget/budget_test.go
@@ -24,16 +24,16 @@
 	t.Run("parts of a repeat that few calls have earned save slack", func(t *testing.T) {
 		c := qt.New(t)
 		var b Budget
-		repeats := 0
+		retries := 0
 		for n := range 10 {
 			now := start.Add(time.Duration(n) * time.Second)
 			b = b.WithFirstCalls(settings, 3, now)
 			if b.Counts(settings, 5, now).Left > 0 {
 				b = b.WithRetries(settings, 1, now)
-				repeats++
+				retries++
 			}
 		}
-		c.Assert(repeats, qt.Equals, 10)
+		c.Assert(retries, qt.Equals, 10)
 	})
 
 	t.Run("the budget fills up again as the window moves on", func(t *testing.T) {
@@ -71,18 +71,18 @@
 		slack := rapid.IntRange(1, 9).Draw(t, "slack")
 		now := start.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "phase")) * time.Millisecond)
 		var b Budget
-		var spent []time.Time
+		var retriedAt []time.Time
 		for range rapid.IntRange(1, 300).Draw(t, "repeats") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			if b.Counts(settings, slack, now).Left == 0 {
 				continue
 			}
 			b = b.WithRetries(settings, 1, now)
-			spent = append(spent, now)
+			retriedAt = append(retriedAt, now)
 		}
-		for i := slack; i < len(spent); i++ {
-			if spent[i].Sub(spent[i-slack]) < settings.WindowLength()+lateness {
-				t.Fatalf("more than %d repeats in the window up to %v", slack, spent[i].Sub(start))
+		for i := slack; i < len(retriedAt); i++ {
+			if retriedAt[i].Sub(retriedAt[i-slack]) < settings.WindowLength()+maxSendDelay {
+				t.Fatalf("more than %d repeats in the window up to %v", slack, retriedAt[i].Sub(start))
 			}
 		}
 	})
@@ -92,28 +92,28 @@
 // move from one node to the next within a window, each of which has seen many first calls.
 func TestCallersMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const rate = 40 * time.Millisecond
+		const callInterval = 40 * time.Millisecond
 		settings := Settings{Ratio: 0.2}
 		nodes := make([]Budget, rapid.IntRange(1, 6).Draw(t, "nodes"))
-		var firsts, repeats []time.Time
-		at, failing := 0, false
+		var firstCalls, retriedAt []time.Time
+		current, failing := 0, false
 		for n := range 1500 {
-			now := start.Add(time.Duration(n) * rate)
+			now := start.Add(time.Duration(n) * callInterval)
 			if n%25 == 0 {
-				at = rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
+				current = rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
 				failing = rapid.Bool().Draw(t, "failing")
 			}
-			nodes[at] = nodes[at].WithFirstCalls(settings, 1, now)
-			firsts = append(firsts, now)
-			for failing && nodes[at].Counts(settings, 0, now).Left > 0 {
-				nodes[at] = nodes[at].WithRetries(settings, 1, now)
-				repeats = append(repeats, now)
+			nodes[current] = nodes[current].WithFirstCalls(settings, 1, now)
+			firstCalls = append(firstCalls, now)
+			for failing && nodes[current].Counts(settings, 0, now).Left > 0 {
+				nodes[current] = nodes[current].WithRetries(settings, 1, now)
+				retriedAt = append(retriedAt, now)
 			}
 		}
-		allowed := int(settings.Ratio * float64(DefaultWindow/rate))
-		for i := allowed; i < len(repeats); i++ {
-			if repeats[i].Sub(repeats[i-allowed]) < DefaultWindow {
-				t.Fatalf("more than %d repeats in the window up to %v, %d first calls", allowed, repeats[i].Sub(start), len(firsts))
+		allowed := int(settings.Ratio * float64(DefaultWindow/callInterval))
+		for i := allowed; i < len(retriedAt); i++ {
+			if retriedAt[i].Sub(retriedAt[i-allowed]) < DefaultWindow {
+				t.Fatalf("more than %d repeats in the window up to %v, %d first calls", allowed, retriedAt[i].Sub(start), len(firstCalls))
 			}
 		}
 	})
