--- a/internal/chutequota/allocator.go
+++ b/internal/chutequota/allocator.go
@@ -9,25 +9,25 @@
 // Allocator deals whole numbers out to the nodes of a list; immutable.
 type Allocator struct {
 	// nodes are the hashes of all listed nodes' names.
-	nodes []uint64
-	self  uint64
+	nodeHashes []uint64
+	selfHash   uint64
 	// listed says that this node is on the list.
 	listed bool
 }
 
 // NewAllocator returns the owners as a node works them out from a list of nodes' names.
 func NewAllocator(self string, nodes []string) Allocator {
-	o := Allocator{self: xxhash.Sum64String(self), listed: slices.Contains(nodes, self)}
+	a := Allocator{selfHash: xxhash.Sum64String(self), listed: slices.Contains(nodes, self)}
 	for _, node := range nodes {
-		o.nodes = append(o.nodes, xxhash.Sum64String(node))
+		a.nodeHashes = append(a.nodeHashes, xxhash.Sum64String(node))
 	}
 
-	return o
+	return a
 }
 
 // NodeCount returns the number of nodes among which is dealt.
-func (o Allocator) NodeCount() int {
-	return len(o.nodes)
+func (a Allocator) NodeCount() int {
+	return len(a.nodeHashes)
 }
 
 // Quota returns this node's part of a whole that belongs to all nodes together; 0 if it is
@@ -37,24 +37,24 @@
 // Where lists of nodes differ by some, so do the owners by as many at most, and each of them
 // adds its part. A node that is not on its own list owns nothing, and neither does one that
 // knows no list.
-func (o Allocator) Quota(thing string, whole int) int {
-	if whole <= 0 || !o.listed {
+func (a Allocator) Quota(key string, total int) int {
+	if total <= 0 || !a.listed {
 		return 0
 	}
-	key := xxhash.Sum64String(thing)
-	own := mix(key ^ o.self)
-	before := 0
-	for _, node := range o.nodes {
-		if mix(key^node) > own {
-			before++
+	keyHash := xxhash.Sum64String(key)
+	selfOrder := mix(keyHash ^ a.selfHash)
+	nodesBefore := 0
+	for _, nodeHash := range a.nodeHashes {
+		if mix(keyHash^nodeHash) > selfOrder {
+			nodesBefore++
 		}
 	}
-	owners := min(len(o.nodes), whole)
-	if before >= owners {
+	nodesWithQuota := min(len(a.nodeHashes), total)
+	if nodesBefore >= nodesWithQuota {
 		return 0
 	}
-	quota := whole / owners
-	if before < whole%owners {
+	quota := total / nodesWithQuota
+	if nodesBefore < total%nodesWithQuota {
 		quota++
 	}
 
--- a/internal/chutequota/allocator_test.go
+++ b/internal/chutequota/allocator_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func names(n int) []string {
+func nodeNames(n int) []string {
 	all := make([]string, 0, n)
 	for i := range n {
 		all = append(all, fmt.Sprint("n", i))
@@ -19,25 +19,25 @@
 }
 
 func TestQuota(t *testing.T) {
-	for _, test := range []struct{ nodes, whole, owners int }{
-		{nodes: 1, whole: 13, owners: 1},
-		{nodes: 8, whole: 13, owners: 8},
-		{nodes: 65, whole: 13, owners: 13},
-		{nodes: 400, whole: 1, owners: 1},
+	for _, test := range []struct{ nodes, total, nodesWithQuota int }{
+		{nodes: 1, total: 13, nodesWithQuota: 1},
+		{nodes: 8, total: 13, nodesWithQuota: 8},
+		{nodes: 65, total: 13, nodesWithQuota: 13},
+		{nodes: 400, total: 1, nodesWithQuota: 1},
 	} {
-		t.Run(fmt.Sprintf("%d nodes share %d units", test.nodes, test.whole), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d nodes share %d units", test.nodes, test.total), func(t *testing.T) {
 			c := qt.New(t)
-			all := names(test.nodes)
-			sum, owners := 0, 0
+			all := nodeNames(test.nodes)
+			sum, nodesWithQuota := 0, 0
 			for _, node := range all {
-				quota := NewAllocator(node, all).Quota("u", test.whole)
+				quota := NewAllocator(node, all).Quota("u", test.total)
 				sum += quota
 				if quota > 0 {
-					owners++
+					nodesWithQuota++
 				}
 			}
-			c.Assert(sum, qt.Equals, test.whole)
-			c.Assert(owners, qt.Equals, test.owners)
+			c.Assert(sum, qt.Equals, test.total)
+			c.Assert(nodesWithQuota, qt.Equals, test.nodesWithQuota)
 		})
 	}
 
@@ -49,20 +49,20 @@
 
 	t.Run("lists that differ by some nodes deal out as many units more at most", rapid.MakeCheck(func(t *rapid.T) {
 		// Nodes come and go, and the others hear of it one by one.
-		all := names(rapid.IntRange(20, 80).Draw(t, "nodes"))
-		gone := rapid.IntRange(0, 6).Draw(t, "gone")
-		whole := rapid.IntRange(1, 18).Draw(t, "whole")
-		fewer := slices.Clone(all[gone:])
+		all := nodeNames(rapid.IntRange(20, 80).Draw(t, "nodes"))
+		removed := rapid.IntRange(0, 6).Draw(t, "gone")
+		total := rapid.IntRange(1, 18).Draw(t, "whole")
+		remaining := slices.Clone(all[removed:])
 		sum := 0
 		for _, node := range all {
 			list := all
 			if rapid.Bool().Draw(t, "heard") {
-				list = fewer
+				list = remaining
 			}
-			sum += NewAllocator(node, list).Quota("u", whole)
+			sum += NewAllocator(node, list).Quota("u", total)
 		}
-		if sum > whole+gone {
-			t.Fatalf("%d units in place of %d with %d nodes gone", sum, whole, gone)
+		if sum > total+removed {
+			t.Fatalf("%d units in place of %d with %d nodes gone", sum, total, removed)
 		}
 	}))
 }
--- a/internal/chutequota/window_test.go
+++ b/internal/chutequota/window_test.go
@@ -15,7 +15,7 @@
 	t.Run("no span holds more than the quota, whenever calls are wanted", rapid.MakeCheck(func(t *rapid.T) {
 		quota := rapid.IntRange(1, 4).Draw(t, "quota")
 		var w Window
-		var sent []time.Time
+		var spentAt []time.Time
 		now := start
 		for range rapid.IntRange(1, 200).Draw(t, "wanted") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
@@ -23,11 +23,11 @@
 				continue
 			}
 			w = w.WithSpent(span, now)
-			sent = append(sent, now)
+			spentAt = append(spentAt, now)
 		}
-		for i := quota; i < len(sent); i++ {
-			if sent[i].Sub(sent[i-quota]) < span {
-				t.Fatalf("more than %d units in the span up to %v", quota, sent[i])
+		for i := quota; i < len(spentAt); i++ {
+			if spentAt[i].Sub(spentAt[i-quota]) < span {
+				t.Fatalf("more than %d units in the span up to %v", quota, spentAt[i])
 			}
 		}
 	}))
