--- a/internal/chutequarantine/bench_test.go
+++ b/internal/chutequarantine/bench_test.go
@@ -10,7 +10,7 @@
 
 // full returns a quarantine with as many crashes as it keeps, eight suspects each, of which
 // one in a hundred was at several.
-func full() Quarantine {
+func fullQuarantine() Quarantine {
 	q := New()
 	for i := range maxCrashes {
 		fingerprints := []string{fmt.Sprintf("%032d", i%100)}
@@ -26,16 +26,16 @@
 }
 
 func BenchmarkJudge(b *testing.B) {
-	q := full()
+	q := fullQuarantine()
 	for b.Loop() {
 		// One request became a suspect since the last judgement.
-		q.judgeAt, q.unjudged = start, []string{fmt.Sprintf("%032d", 7)}
+		q.judgeAt, q.newSuspects = start, []string{fmt.Sprintf("%032d", 7)}
 		q.Judge(start.Add(maxCrashes * time.Second))
 	}
 }
 
 func BenchmarkHolds(b *testing.B) {
-	q := full()
+	q := fullQuarantine()
 	for b.Loop() {
 		q.QuarantinedUntil("00000000000000000000000000001234")
 	}
@@ -45,7 +45,7 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	q := full()
+	q := fullQuarantine()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	crash, _ := json.Marshal(q.KnownCrash("upstream-7"))
--- a/internal/chutequarantine/quarantine.go
+++ b/internal/chutequarantine/quarantine.go
@@ -63,38 +63,38 @@
 }
 
 // crash is a crash with when this node heard of it first.
-type crash struct {
+type crashRecord struct {
 	Crash
 
-	heardAt time.Time
+	reportedAt time.Time
 	// own says that this node saw it itself.
-	own bool
+	observed bool
 }
 
 // suspects says whether a request ran there.
-func (c crash) suspects(fingerprint string) bool {
+func (c crashRecord) hasSuspect(fingerprint string) bool {
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == fingerprint })
 }
 
 // judged is a judgement with when this node heard of it.
-type judged struct {
+type judgementRecord struct {
 	Judgement
 
-	heardAt time.Time
+	reportedAt time.Time
 }
 
 // Quarantine is what one node has heard of crashes and judgements; it is never changed in
 // place.
 type Quarantine struct {
 	// crashes are by incarnation, crashesOf names the incarnations that ended under a request.
-	crashes    *immutable.Map[string, crash]
-	crashesOf  *immutable.Map[string, []string]
-	judgements *immutable.Map[string, judged]
+	crashes            *immutable.Map[string, crashRecord]
+	upstreamsBySuspect *immutable.Map[string, []string]
+	judgements         *immutable.Map[string, judgementRecord]
 	// voids maps a request to the incarnations that count no more against it.
-	voids *immutable.Map[string, []string]
+	voidEvidence *immutable.Map[string, []string]
 	// unjudged are the requests that became suspects since crashes were last judged:
 	// no other one can have reached the number of ends that sets it aside.
-	unjudged []string
+	newSuspects []string
 	// judgeAt is when there is something to judge; zero if there is nothing.
 	judgeAt time.Time
 }
@@ -102,50 +102,50 @@
 // New returns a quarantine that has heard of nothing.
 func New() Quarantine {
 	return Quarantine{
-		crashes:    immutable.NewMap[string, crash](nil),
-		crashesOf:  immutable.NewMap[string, []string](nil),
-		judgements: immutable.NewMap[string, judged](nil),
-		voids:      immutable.NewMap[string, []string](nil),
+		crashes:            immutable.NewMap[string, crashRecord](nil),
+		upstreamsBySuspect: immutable.NewMap[string, []string](nil),
+		judgements:         immutable.NewMap[string, judgementRecord](nil),
+		voidEvidence:       immutable.NewMap[string, []string](nil),
 	}
 }
 
 // WithCrash takes in a crash, or further suspects of a known one; own says that this node
 // saw it itself. It returns false if that is no news.
-func (q Quarantine) WithCrash(c Crash, own bool, now time.Time) (Quarantine, bool) {
+func (q Quarantine) WithCrash(c Crash, observed bool, now time.Time) (Quarantine, bool) {
 	known, ok := q.crashes.Get(c.Upstream)
 	if !ok {
-		q = q.withRoom()
-		known = crash{Crash: Crash{Upstream: c.Upstream, Pool: c.Pool}, heardAt: now}
+		q = q.withRoomForCrash()
+		known = crashRecord{Crash: Crash{Upstream: c.Upstream, Pool: c.Pool}, reportedAt: now}
 	}
-	known.own = known.own || own
+	known.observed = known.observed || observed
 	known.Suspects = slices.Clip(known.Suspects)
-	news := !ok
+	isNew := !ok
 	for _, s := range c.Suspects {
-		if len(known.Suspects) >= maxSuspects || known.suspects(s.Fingerprint) {
+		if len(known.Suspects) >= maxSuspects || known.hasSuspect(s.Fingerprint) {
 			continue
 		}
-		news = true
+		isNew = true
 		known.Suspects = append(known.Suspects, s)
-		at, _ := q.crashesOf.Get(s.Fingerprint)
-		q.crashesOf = q.crashesOf.Set(s.Fingerprint, append(slices.Clip(at), c.Upstream))
-		q.unjudged = append(slices.Clip(q.unjudged), s.Fingerprint)
+		upstreams, _ := q.upstreamsBySuspect.Get(s.Fingerprint)
+		q.upstreamsBySuspect = q.upstreamsBySuspect.Set(s.Fingerprint, append(slices.Clip(upstreams), c.Upstream))
+		q.newSuspects = append(slices.Clip(q.newSuspects), s.Fingerprint)
 	}
 	q.crashes = q.crashes.Set(c.Upstream, known)
-	if news && q.judgeAt.IsZero() {
-		q.judgeAt = now.Add(settle)
+	if isNew && q.judgeAt.IsZero() {
+		q.judgeAt = now.Add(judgeDelay)
 	}
 
-	return q, news
+	return q, isNew
 }
 
 // withRoom drops the oldest crash if there are too many.
-func (q Quarantine) withRoom() Quarantine {
+func (q Quarantine) withRoomForCrash() Quarantine {
 	if q.crashes.Len() < maxCrashes {
 		return q
 	}
-	var oldest crash
+	var oldest crashRecord
 	for i := q.crashes.Iterator(); !i.Done(); {
-		if _, c, _ := i.Next(); oldest.Upstream == "" || c.heardAt.Before(oldest.heardAt) {
+		if _, c, _ := i.Next(); oldest.Upstream == "" || c.reportedAt.Before(oldest.reportedAt) {
 			oldest = c
 		}
 	}
@@ -153,24 +153,24 @@
 	return q.withoutCrash(oldest)
 }
 
-func (q Quarantine) withoutCrash(c crash) Quarantine {
+func (q Quarantine) withoutCrash(c crashRecord) Quarantine {
 	q.crashes = q.crashes.Delete(c.Upstream)
 	for _, s := range c.Suspects {
-		at, _ := q.crashesOf.Get(s.Fingerprint)
-		at = without(at, c.Upstream)
-		if len(at) > 0 {
-			q.crashesOf = q.crashesOf.Set(s.Fingerprint, at)
+		upstreams, _ := q.upstreamsBySuspect.Get(s.Fingerprint)
+		upstreams = withoutItem(upstreams, c.Upstream)
+		if len(upstreams) > 0 {
+			q.upstreamsBySuspect = q.upstreamsBySuspect.Set(s.Fingerprint, upstreams)
 
 			continue
 		}
-		q.crashesOf = q.crashesOf.Delete(s.Fingerprint)
-		q.voids = q.voids.Delete(s.Fingerprint)
+		q.upstreamsBySuspect = q.upstreamsBySuspect.Delete(s.Fingerprint)
+		q.voidEvidence = q.voidEvidence.Delete(s.Fingerprint)
 	}
 
 	return q
 }
 
-func without(list []string, item string) []string {
+func withoutItem(list []string, item string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == item })
 }
 
@@ -183,49 +183,49 @@
 	if ok && known.Verdict == j.Verdict && slices.Equal(known.Upstreams, j.Upstreams) {
 		return q, false
 	}
-	if j.Verdict == VerdictQuarantined && q.isVoid(j) {
+	if j.Verdict == VerdictQuarantined && q.lacksEvidence(j) {
 		return q, false
 	}
 	if !ok {
-		q = q.withRoomFor()
+		q = q.withRoomForJudgement()
 	}
-	q.judgements = q.judgements.Set(j.Fingerprint, judged{Judgement: j, heardAt: now})
+	q.judgements = q.judgements.Set(j.Fingerprint, judgementRecord{Judgement: j, reportedAt: now})
 	if j.Verdict != VerdictQuarantined {
-		void, _ := q.voids.Get(j.Fingerprint)
+		void, _ := q.voidEvidence.Get(j.Fingerprint)
 		void = append(slices.Clip(void), j.Upstreams...)
 		slices.Sort(void)
-		q.voids = q.voids.Set(j.Fingerprint, slices.Compact(void))
+		q.voidEvidence = q.voidEvidence.Set(j.Fingerprint, slices.Compact(void))
 	}
 
 	return q, true
 }
 
 // isVoid says whether too little of a verdict's evidence still counts.
-func (q Quarantine) isVoid(j Judgement) bool {
-	void, ok := q.voids.Get(j.Fingerprint)
-	left := slices.DeleteFunc(slices.Clone(j.Upstreams), func(u string) bool { return slices.Contains(void, u) })
+func (q Quarantine) lacksEvidence(j Judgement) bool {
+	void, ok := q.voidEvidence.Get(j.Fingerprint)
+	valid := slices.DeleteFunc(slices.Clone(j.Upstreams), func(u string) bool { return slices.Contains(void, u) })
 
-	return ok && len(left) < sure
+	return ok && len(valid) < minCrashes
 }
 
 // withRoomFor drops the oldest judgement of the workspace that has most, if there are too many.
-func (q Quarantine) withRoomFor() Quarantine {
+func (q Quarantine) withRoomForJudgement() Quarantine {
 	if q.judgements.Len() < maxJudgements {
 		return q
 	}
 	count := map[string]int{}
-	most := ""
+	largest := ""
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
 		count[j.Workspace]++
-		if count[j.Workspace] > count[most] {
-			most = j.Workspace
+		if count[j.Workspace] > count[largest] {
+			largest = j.Workspace
 		}
 	}
-	var oldest judged
+	var oldest judgementRecord
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
-		if j.Workspace == most && (oldest.Fingerprint == "" || j.heardAt.Before(oldest.heardAt)) {
+		if j.Workspace == largest && (oldest.Fingerprint == "" || j.reportedAt.Before(oldest.reportedAt)) {
 			oldest = j
 		}
 	}
@@ -235,31 +235,31 @@
 }
 
 // QuarantinedUntil says whether a request is set aside, and until when.
-func (q Quarantine) QuarantinedUntil(fingerprint string) (until time.Time, held bool) {
+func (q Quarantine) QuarantinedUntil(fingerprint string) (until time.Time, quarantined bool) {
 	j, ok := q.judgements.Get(fingerprint)
 	if !ok || j.Verdict != VerdictQuarantined {
 		return time.Time{}, false
 	}
 
-	return j.heardAt.Add(TTL), true
+	return j.reportedAt.Add(TTL), true
 }
 
 // EvidenceAgainst lists the upstreams whose ends speak against a request by now.
 func (q Quarantine) EvidenceAgainst(fingerprint string) []string {
-	at, _ := q.crashesOf.Get(fingerprint)
-	void, _ := q.voids.Get(fingerprint)
+	upstreams, _ := q.upstreamsBySuspect.Get(fingerprint)
+	void, _ := q.voidEvidence.Get(fingerprint)
 
-	return slices.DeleteFunc(slices.Clone(at), func(u string) bool { return slices.Contains(void, u) || q.explained(u, fingerprint) })
+	return slices.DeleteFunc(slices.Clone(upstreams), func(u string) bool { return slices.Contains(void, u) || q.isAttributedToOther(u, fingerprint) })
 }
 
 // explained says whether a crash is put down to another request that is set aside.
-func (q Quarantine) explained(upstream, fingerprint string) bool {
+func (q Quarantine) isAttributedToOther(upstream, fingerprint string) bool {
 	c, _ := q.crashes.Get(upstream)
 
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool {
-		_, held := q.QuarantinedUntil(s.Fingerprint)
+		_, quarantined := q.QuarantinedUntil(s.Fingerprint)
 
-		return held && s.Fingerprint != fingerprint
+		return quarantined && s.Fingerprint != fingerprint
 	})
 }
 
@@ -272,16 +272,16 @@
 
 // Quarantined lists the requests that are set aside at a time, by fingerprint.
 func (q Quarantine) Quarantined(now time.Time) []Judgement {
-	var held []Judgement
+	var quarantined []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
 		if until, ok := q.QuarantinedUntil(j.Fingerprint); ok && now.Before(until) {
-			held = append(held, j.Judgement)
+			quarantined = append(quarantined, j.Judgement)
 		}
 	}
-	slices.SortFunc(held, func(a, b Judgement) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(quarantined, func(a, b Judgement) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 
-	return held
+	return quarantined
 }
 
 // Judgements lists what is held of requests, in no order.
@@ -303,12 +303,12 @@
 // Expire forgets what is older than Life.
 func (q Quarantine) Expire(now time.Time) Quarantine {
 	for i := q.crashes.Iterator(); !i.Done(); {
-		if _, c, _ := i.Next(); now.Sub(c.heardAt) >= TTL {
+		if _, c, _ := i.Next(); now.Sub(c.reportedAt) >= TTL {
 			q = q.withoutCrash(c)
 		}
 	}
 	for i := q.judgements.Iterator(); !i.Done(); {
-		if _, j, _ := i.Next(); now.Sub(j.heardAt) >= TTL {
+		if _, j, _ := i.Next(); now.Sub(j.reportedAt) >= TTL {
 			q.judgements = q.judgements.Delete(j.Fingerprint)
 		}
 	}
--- a/internal/chutequarantine/row.go
+++ b/internal/chutequarantine/row.go
@@ -38,8 +38,8 @@
 
 // DecodeJudgement decodes a judgement's row; ok is false for other rows.
 func DecodeJudgement(key string, value []byte) (j Judgement, ok bool, err error) {
-	fingerprint, is := strings.CutPrefix(key, JudgementPrefix)
-	if !is {
+	fingerprint, hasPrefix := strings.CutPrefix(key, JudgementPrefix)
+	if !hasPrefix {
 		return Judgement{}, false, nil
 	}
 	if err = json.Unmarshal(value, &j); err == nil && j.Fingerprint != fingerprint {
