--- a/internal/chutebudget/budget.go
+++ b/internal/chutebudget/budget.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// DefaultWindow is the span of the bound where the settings name none.
+	// DefaultWindow is the length of the window if the settings name none.
 	DefaultWindow = 10 * time.Second
-	// ShortestWindow is the shortest span that a budget can count over.
+	// ShortestWindow is the minimum length of the window.
 	ShortestWindow = time.Second
 )
 
 const (
-	// windowSlots is the number of steps in which a window moves on.
+	// windowSlots is the number of slots into which a window is divided.
 	windowSlots = 40
-	// creditSlots is the number of slots for which a first call's credit lasts.
+	// creditSlots is the number of slots for which the credit of a first call can be spent.
 	creditSlots = 5
-	// lateness is how much later than it was decided on a repeat may reach its upstream: the
-	// time that a new connection takes at most, and some for its way.
+	// maxSendDelay is the maximum time from the decision to retry until the call reaches its
+	// upstream: the maximum time that a new connection takes, and some time for the network.
 	maxSendDelay = 500 * time.Millisecond
-	// maxSlots is the number of slots in which repeats are counted for the shortest window;
-	// the newest is not full.
+	// maxSlots is the number of slots in which retries are counted for the shortest window. It
+	// includes the newest slot, which has not ended yet.
 	maxSlots = windowSlots + int64(maxSendDelay*windowSlots/ShortestWindow) + 1
-	// unit is one repeat; credits come in parts of it.
+	// creditPerRetry is the credit that one retry costs. First calls earn fractions of it.
 	creditPerRetry = 1000
 )
 
-// Settings bound the repeats of all nodes together in any window.
+// Settings bound the retries of all nodes together in any window.
 type Settings struct {
-	// Ratio is the share of first calls that may be repeated, 0 to 1.
+	// Ratio is the number of retries allowed per first call, 0 to 1.
 	Ratio float64
-	// Slack is the number of repeats that are allowed besides.
+	// Slack is the number of retries allowed in addition.
 	Slack float64
-	// Window is the span over which both are counted; 0 is DefaultWindow.
+	// Window is the length of the window over which both are counted; 0 means DefaultWindow.
 	Window time.Duration
 }
 
-// WindowLength returns the window's length.
+// WindowLength returns the length of the window, at least ShortestWindow.
 func (s Settings) WindowLength() time.Duration {
 	if s.Window <= 0 {
 		return DefaultWindow
@@ -43,17 +43,18 @@
 	return max(s.Window, ShortestWindow)
 }
 
-// RetentionTime returns how long a repeat counts at least, on its way to the upstream included.
+// RetentionTime returns the minimum time for which a retry is counted, which includes the time
+// until it reaches its upstream.
 func (s Settings) RetentionTime() time.Duration {
 	return s.slotLength() * time.Duration(s.retrySlots())
 }
 
-// spentSlots is the number of slots in which repeats are counted.
+// retrySlots returns the number of slots in which retries are counted.
 func (s Settings) retrySlots() int64 {
 	return windowSlots + s.sendDelaySlots() + 1
 }
 
-// lateSlots is the number of slots in which a repeat may reach its upstream late.
+// sendDelaySlots returns maxSendDelay in slots, rounded up.
 func (s Settings) sendDelaySlots() int64 {
 	return int64((maxSendDelay + s.slotLength() - 1) / s.slotLength())
 }
@@ -62,45 +63,47 @@
 	return s.WindowLength() / windowSlots
 }
 
-// credit is what one first call earns, in parts of a unit.
+// creditPerCall returns the credit that one first call earns.
 //
-// The repeats of a window are paid with the credit of that window and of the time before it in
-// which credit lasts. It is smaller than the ratio by as much as that is longer.
+// The retries that reach upstreams within a window are paid for with credit that was earned in the
+// window or shortly before it: at most the lifetime of credit plus maxSendDelay. The credit per
+// call is reduced in proportion to this longer time, so that the ratio holds in every window.
 func (s Settings) creditPerCall() float64 {
 	return s.Ratio * creditPerRetry / (1 + float64(creditSlots+s.sendDelaySlots())/windowSlots)
 }
 
-// slot is what was counted in one step of the window.
+// slot holds the counts of one slot of the window.
 type slot struct {
 	firstCalls int32
 	retries    int32
-	// credit is what is left of the first calls' credit, slack what was taken of the slack,
-	// both in parts of a unit.
+	// credit is the unspent credit of the slot's first calls. slackSpent is the part of the
+	// retries' cost that was paid with slack. Both are in units of credit.
 	credit     int32
 	slackSpent int32
 }
 
-// Budget counts one pool's first calls and repeats of late, by one window length; immutable.
+// Budget counts the recent first calls and retries of one pool. It is immutable, and all calls must
+// use settings with the same window length.
 //
-// Credit is spent once and lasts shortly. Nodes that each allowed a share of their first calls
-// in the last window would together allow more than that share where callers move from one
-// node to another within a window, as they do when nodes are killed.
+// Credit can be spent once, and only for a short time. If each node allowed a share of its own
+// first calls in the last window, all nodes together would allow more than that share when callers
+// move from one node to another within a window, as they do when nodes are killed.
 type Budget struct {
 	slots  [maxSlots]slot
 	newest int64
 }
 
-// Counts are what a budget holds at one time.
+// Counts describes a budget at one time.
 type Counts struct {
-	// First and Spent are the first calls and the repeats of the window.
+	// First and Spent are the numbers of first calls and of retries in the window.
 	First int
 	Spent int
-	// Left is how many repeats may be sent now, Slack the node's part of the slack.
+	// Left is the number of retries allowed now. Slack is the node's share of the slack.
 	Left  int
 	Slack int
 }
 
-// moved begins the slots that have come since, and empties those that the window has left.
+// advancedTo starts the slots up to now and clears those that have left the window.
 func (b Budget) advancedTo(s Settings, now time.Time) Budget {
 	current := now.UnixNano() / int64(s.slotLength())
 	for n := max(b.newest+1, current-maxSlots+1); n <= current; n++ {
@@ -111,12 +114,12 @@
 	return b
 }
 
-// aged returns the slot of an age in slots, 0 for the newest.
+// slotOfAge returns the slot that is the given number of slots old, 0 for the newest.
 func (b *Budget) slotOfAge(age int64) *slot {
 	return &b.slots[(b.newest-age+maxSlots)%maxSlots]
 }
 
-// WithFirstCalls counts n first calls.
+// WithFirstCalls returns the budget with n first calls added.
 func (b Budget) WithFirstCalls(s Settings, n int, now time.Time) Budget {
 	b = b.advancedTo(s, now)
 	newest := b.slotOfAge(0)
@@ -126,8 +129,9 @@
 	return b
 }
 
-// WithRetries counts n repeats. They are paid with credit, the oldest first, and what that lacks
-// with slack, so that parts of a repeat that few calls have earned are of use, too.
+// WithRetries returns the budget with n retries added. They are paid for with credit, the oldest
+// first, and the rest with slack. A retry may be paid for partly with credit, so that the credit of
+// a few calls saves slack even if it is less than one retry costs.
 func (b Budget) WithRetries(s Settings, n int, now time.Time) Budget {
 	b = b.advancedTo(s, now)
 	b.slotOfAge(0).retries += int32(n)  //nolint:gosec // calls of a fraction of a second
@@ -142,7 +146,8 @@
 	return b
 }
 
-// Counts returns what the budget allows now, with a part of the slack.
+// Counts returns the counts of the budget at a time, and how many retries it allows then if the
+// node's share of the slack is the given number.
 func (b Budget) Counts(s Settings, slack int, now time.Time) Counts {
 	b = b.advancedTo(s, now)
 	c := Counts{Slack: slack}
--- a/internal/chutebudget/budget_test.go
+++ b/internal/chutebudget/budget_test.go
@@ -13,7 +13,7 @@
 func TestBudget(t *testing.T) {
 	settings := Settings{Ratio: 0.2}
 
-	t.Run("a share of first calls and the slack may be repeated, and no more", func(t *testing.T) {
+	t.Run("allows a share of the first calls and the slack, and no more", func(t *testing.T) {
 		c := qt.New(t)
 		b := Budget{}.WithFirstCalls(settings, 60, start)
 		c.Assert(b.Counts(settings, 3, start), qt.Equals, Counts{First: 60, Slack: 3, Left: 13})
@@ -21,7 +21,7 @@
 		c.Assert(b.Counts(settings, 3, start.Add(time.Second)).Left, qt.Equals, 0)
 	})
 
-	t.Run("parts of a repeat that few calls have earned save slack", func(t *testing.T) {
+	t.Run("credit for less than one retry saves slack", func(t *testing.T) {
 		c := qt.New(t)
 		var b Budget
 		retries := 0
@@ -36,7 +36,7 @@
 		c.Assert(retries, qt.Equals, 10)
 	})
 
-	t.Run("the budget fills up again as the window moves on", func(t *testing.T) {
+	t.Run("retries that have left the window no longer count", func(t *testing.T) {
 		c := qt.New(t)
 		s := Settings{Ratio: 0, Slack: 3}
 		b := Budget{}.WithRetries(s, 3, start)
@@ -45,7 +45,7 @@
 		c.Assert(b.Counts(s, 3, start.Add(DefaultWindow+time.Second)).Left, qt.Equals, 3)
 	})
 
-	t.Run("credit lasts shortly, first calls and repeats are shown for a window", func(t *testing.T) {
+	t.Run("credit expires early, first calls and retries are counted for a window", func(t *testing.T) {
 		c := qt.New(t)
 		b := Budget{}.WithFirstCalls(settings, 60, start).WithRetries(settings, 2, start)
 		later := start.Add(2 * time.Second)
@@ -53,7 +53,7 @@
 		c.Assert(b.Counts(settings, 0, start.Add(settings.RetentionTime())), qt.Equals, Counts{})
 	})
 
-	t.Run("a window of another length", func(t *testing.T) {
+	t.Run("a window other than the default", func(t *testing.T) {
 		c := qt.New(t)
 		short := Settings{Ratio: 0.2, Window: 2 * time.Second}
 		b := Budget{}.WithRetries(short, 1, start)
@@ -62,9 +62,8 @@
 	})
 }
 
-// TestWindowSlides guards against a window that forgets early: a slack that was spent within a
-// moment must not be spent again before the whole window has passed, and the time in which a
-// repeat may reach its upstream late.
+// TestWindowSlides guards against retries that stop counting too early: slack that was spent at one
+// time must not be spent again before the window and maxSendDelay have passed.
 func TestWindowSlides(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{Window: time.Duration(rapid.IntRange(1, 20).Draw(t, "seconds")) * time.Second}
@@ -72,7 +71,7 @@
 		now := start.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "phase")) * time.Millisecond)
 		var b Budget
 		var retriedAt []time.Time
-		for range rapid.IntRange(1, 300).Draw(t, "repeats") {
+		for range rapid.IntRange(1, 300).Draw(t, "retries") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			if b.Counts(settings, slack, now).Left == 0 {
 				continue
@@ -82,14 +81,15 @@
 		}
 		for i := slack; i < len(retriedAt); i++ {
 			if retriedAt[i].Sub(retriedAt[i-slack]) < settings.WindowLength()+maxSendDelay {
-				t.Fatalf("more than %d repeats in the window up to %v", slack, retriedAt[i].Sub(start))
+				t.Fatalf("more than %d retries in the window up to %v", slack, retriedAt[i].Sub(start))
 			}
 		}
 	})
 }
 
-// TestCallersMove guards against nodes that together allow more than the bound when callers
-// move from one node to the next within a window, each of which has seen many first calls.
+// TestCallersMove guards against nodes that together allow more retries than the bound. That comes
+// about when callers move from node to node within a window, and each node has counted many first
+// calls.
 func TestCallersMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const callInterval = 40 * time.Millisecond
@@ -113,7 +113,7 @@
 		allowed := int(settings.Ratio * float64(DefaultWindow/callInterval))
 		for i := allowed; i < len(retriedAt); i++ {
 			if retriedAt[i].Sub(retriedAt[i-allowed]) < DefaultWindow {
-				t.Fatalf("more than %d repeats in the window up to %v, %d first calls", allowed, retriedAt[i].Sub(start), len(firstCalls))
+				t.Fatalf("more than %d retries in the window up to %v, %d first calls", allowed, retriedAt[i].Sub(start), len(firstCalls))
 			}
 		}
 	})
--- a/internal/chutebudget/doc.go
+++ b/internal/chutebudget/doc.go
@@ -1,8 +1,8 @@
-// Package chutebudget bounds the repeats of calls to one pool by a share of its first calls and
-// a slack, over a sliding window.
+// Package chutebudget bounds the retries of calls to one pool over a sliding window: to a share of
+// the pool's first calls plus a fixed number, the slack.
 //
-// Repeats without a bound multiply the load of a failing pool just when it can bear least. Each
-// node counts for itself. What all nodes spend together stays within the bound because the
-// parts of the slack that nodes may spend never add up to more than the whole (chutequota), and
-// each first call is counted at one node.
+// Without a bound, retries multiply the load of a failing pool when its capacity is lowest. Each
+// node counts only its own calls. The retries of all nodes together stay within the bound because
+// the nodes' shares of the slack never add up to more than the whole slack (see chutequota), and
+// because each first call is counted at only one node.
 package chutebudget
