--- a/internal/chutequota/allocator.go
+++ b/internal/chutequota/allocator.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Allocator deals whole numbers out to the nodes of a list; immutable.
+// Allocator computes one node's quotas from a list of nodes. It is immutable.
 type Allocator struct {
-	// nodes are the hashes of all listed nodes' names.
+	// nodeHashes are the hashes of the names of all listed nodes.
 	nodeHashes []uint64
 	selfHash   uint64
-	// listed says that this node is on the list.
+	// listed is true if this node is on the list.
 	listed bool
 }
 
-// NewAllocator returns the owners as a node works them out from a list of nodes' names.
+// NewAllocator returns the allocator of the node named self for a list of the names of nodes.
 func NewAllocator(self string, nodes []string) Allocator {
 	a := Allocator{selfHash: xxhash.Sum64String(self), listed: slices.Contains(nodes, self)}
 	for _, node := range nodes {
@@ -25,18 +25,18 @@
 	return a
 }
 
-// NodeCount returns the number of nodes among which is dealt.
+// NodeCount returns the number of listed nodes.
 func (a Allocator) NodeCount() int {
 	return len(a.nodeHashes)
 }
 
-// Quota returns this node's part of a whole that belongs to all nodes together; 0 if it is
-// none of the owners of the thing that is named.
+// Quota returns this node's part of a total that all nodes share, 0 if it has none. The key names
+// what is divided.
 //
-// The owners are the first nodes in an order of the thing's own, as many as there are units.
-// Where lists of nodes differ by some, so do the owners by as many at most, and each of them
-// adds its part. A node that is not on its own list owns nothing, and neither does one that
-// knows no list.
+// The key determines an order of the nodes, and the first of them get a quota: as many as there are
+// units, at most. If the lists of two nodes differ in n nodes, the sets of nodes that get a quota
+// differ in at most n nodes as well, and each of those can add its quota to the total. A node that is
+// not on its own list, or that has no list yet, gets nothing.
 func (a Allocator) Quota(key string, total int) int {
 	if total <= 0 || !a.listed {
 		return 0
@@ -61,7 +61,7 @@
 	return quota
 }
 
-// mix spreads a number over all 64 bits, each value to another one (the end of SplitMix64).
+// mix is a bijective hash of 64-bit values: the output function of SplitMix64.
 func mix(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/internal/chutequota/allocator_test.go
+++ b/internal/chutequota/allocator_test.go
@@ -41,28 +41,28 @@
 		})
 	}
 
-	t.Run("a node that is not on its list, or knows none, owns nothing", func(t *testing.T) {
+	t.Run("a node that is not on its list, or has no list, gets nothing", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(NewAllocator("n0", nil).Quota("u", 13), qt.Equals, 0)
 		c.Assert(NewAllocator("n0", []string{"n1"}).Quota("u", 13), qt.Equals, 0)
 	})
 
-	t.Run("lists that differ by some nodes deal out as many units more at most", rapid.MakeCheck(func(t *rapid.T) {
-		// Nodes come and go, and the others hear of it one by one.
+	t.Run("lists that differ in n nodes divide at most n units too many", rapid.MakeCheck(func(t *rapid.T) {
+		// Nodes have left, and each of the others learns of it at its own time.
 		all := nodeNames(rapid.IntRange(20, 80).Draw(t, "nodes"))
-		removed := rapid.IntRange(0, 6).Draw(t, "gone")
-		total := rapid.IntRange(1, 18).Draw(t, "whole")
+		removed := rapid.IntRange(0, 6).Draw(t, "removed")
+		total := rapid.IntRange(1, 18).Draw(t, "total")
 		remaining := slices.Clone(all[removed:])
 		sum := 0
 		for _, node := range all {
 			list := all
-			if rapid.Bool().Draw(t, "heard") {
+			if rapid.Bool().Draw(t, "updated") {
 				list = remaining
 			}
 			sum += NewAllocator(node, list).Quota("u", total)
 		}
 		if sum > total+removed {
-			t.Fatalf("%d units in place of %d with %d nodes gone", sum, total, removed)
+			t.Fatalf("%d units instead of %d with %d nodes removed", sum, total, removed)
 		}
 	}))
 }
--- a/internal/chutequota/doc.go
+++ b/internal/chutequota/doc.go
@@ -1,7 +1,8 @@
-// Package chutequota deals a whole number out to the nodes of a list, so that the parts of all
-// nodes add up to it without a word between them.
+// Package chutequota divides whole numbers, such as limits and budgets, among nodes without any
+// communication between them.
 //
-// Each node works its part out alone, from the list of nodes and the name of what is dealt out.
-// Parts are whole numbers: where there are more nodes than units, some own one and the rest
-// none, and nothing is lost to rounding.
+// Each node computes its own quota from the list of nodes and a key that names what is divided. The
+// quotas of all nodes that have the same list add up to the total. Quotas are whole numbers: if
+// there are more nodes than units, some nodes get one unit and the others none, and nothing is lost
+// to rounding.
 package chutequota
--- a/internal/chutequota/window.go
+++ b/internal/chutequota/window.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Window is an immutable record of what a node has spent of a quota that holds for any span of a
-// given length.
+// Window records when a node has spent units of a quota that applies to any time span of a given
+// length. It is immutable.
 type Window struct {
 	spentAt []time.Time
 }
 
-// WithSpent returns the window with one unit spent.
+// WithSpent returns the window with one more unit spent now, and without those spent at least one
+// span ago.
 func (w Window) WithSpent(span time.Duration, now time.Time) Window {
 	var spentAt []time.Time
 	for _, at := range w.spentAt {
@@ -20,7 +21,8 @@
 	return Window{spentAt: append(spentAt, now)}
 }
 
-// NextAt returns when the next unit may be spent under a quota above 0; not after now if at once.
+// NextAt returns when the next unit of a quota may be spent; a time not after now means at once.
+// The quota must be above 0.
 func (w Window) NextAt(quota int, span time.Duration, now time.Time) time.Time {
 	if len(w.spentAt) < quota {
 		return now
--- a/internal/chutequota/window_test.go
+++ b/internal/chutequota/window_test.go
@@ -12,12 +12,12 @@
 	const span = 1200 * time.Millisecond
 	start := time.Unix(1000, 0)
 
-	t.Run("no span holds more than the quota, whenever calls are wanted", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("no span has more units than the quota, whenever calls arrive", rapid.MakeCheck(func(t *rapid.T) {
 		quota := rapid.IntRange(1, 4).Draw(t, "quota")
 		var w Window
 		var spentAt []time.Time
 		now := start
-		for range rapid.IntRange(1, 200).Draw(t, "wanted") {
+		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
 			if w.NextAt(quota, span, now).After(now) {
 				continue
@@ -32,7 +32,7 @@
 		}
 	}))
 
-	t.Run("the time of the next call is told", func(t *testing.T) {
+	t.Run("returns the time of the next unit", func(t *testing.T) {
 		c := qt.New(t)
 		w := Window{}.WithSpent(span, start)
 		c.Assert(w.NextAt(2, span, start), qt.Equals, start)
