--- a/internal/chutequarantine/bench_test.go
+++ b/internal/chutequarantine/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// full returns a quarantine with as many crashes as it keeps, eight suspects each, of which
-// one in a hundred was at several.
+// fullQuarantine returns a quarantine with maxCrashes crashes and eight suspects each. The first
+// suspect of each crash is one of a hundred that were running at several crashes.
 func fullQuarantine() Quarantine {
 	q := New()
 	for i := range maxCrashes {
@@ -28,7 +28,7 @@
 func BenchmarkJudge(b *testing.B) {
 	q := fullQuarantine()
 	for b.Loop() {
-		// One request became a suspect since the last judgement.
+		// One request has become a suspect since the last judgement.
 		q.judgeAt, q.newSuspects = start, []string{fmt.Sprintf("%032d", 7)}
 		q.Judge(start.Add(maxCrashes * time.Second))
 	}
--- a/internal/chutequarantine/doc.go
+++ b/internal/chutequarantine/doc.go
@@ -1,11 +1,11 @@
-// Package chutequarantine decides which requests are set aside because upstreams end
-// under them.
+// Package chutequarantine decides which requests are quarantined, that is no longer sent to any
+// upstream, because upstreams crash while they run them.
 //
-// A poison request ends the process of each upstream that runs it. Its caller comes again,
-// at any node, and takes one upstream after another out of its pool. No node sees more than
-// a few of these ends, and at each of them innocent requests stood beside it.
+// A poison request ends the process of each upstream that runs it. Its caller sends it again, to
+// any node, and one upstream of the pool after another crashes. Each node observes only a few of
+// these crashes, and at each of them the upstream was also running innocent requests.
 //
-// Nodes tell each other of each such end, with the requests that ran there: a Crash with
-// its Suspects. From these every node works out alone which requests to set aside; the
-// answer depends on what was heard, not on who asks. An answered run clears a request.
+// Nodes report each crash to each other as a Crash, with the requests that were running there as
+// Suspects. From these reports each node decides alone which requests to quarantine. Nodes that have
+// the same reports reach the same decision. An upstream's answer to a request clears the request.
 package chutequarantine
--- a/internal/chutequarantine/judge.go
+++ b/internal/chutequarantine/judge.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// sure is the number of ends from which on a request is set aside. Two can befall a
-	// request whose caller came back once, with one upstream after another failing.
+	// minCrashes is the number of crashes from which on a request is quarantined. Two can happen
+	// to an innocent request that its caller sent again, while one upstream after another fails.
 	minCrashes = 3
-	// surePair is the same where another request ran at all of these ends too, so that
-	// one of the two is innocent: one end more mostly tells them apart.
+	// minCrashesOfPair is the same if another request was running at all of these crashes too, so
+	// that one of the two is innocent: one more crash mostly tells them apart.
 	minCrashesOfPair = 4
-	// together is the time within which ends count as one event. A rack that loses its
-	// power ends many upstreams, and nodes hear of it within one call's time to each.
+	// incidentWindow is the time within which crashes count as one incident. A rack that loses
+	// power ends many upstreams, and nodes learn of each of them within the time of one call.
 	incidentWindow = 250 * time.Millisecond
-	// mostTogether is how much one event counts if the request ran at every upstream that
-	// ended in it: more than one end, as a request that was sent to several upstreams at
-	// once may have ended them all, but not enough by itself, as a request that many
-	// callers send runs at every upstream when all of them lose their power.
+	// maxIncidentWeight is the number of crashes that one incident counts for if the request was
+	// running at every upstream that crashed in it. It is more than one because a request that was
+	// sent to several upstreams at once may have caused all of these crashes. It is not enough to
+	// quarantine a request by itself, because a request that many callers send is running at every
+	// upstream when all of them lose power.
 	maxIncidentWeight = 2
-	// settle is how old an event is when it is judged: by then all ends of it are known,
-	// and all nodes have told their suspects.
+	// judgeDelay is the age at which an incident is judged. By then all of its crashes are known,
+	// and all nodes have reported their suspects.
 	judgeDelay = incidentWindow + 50*time.Millisecond
 )
 
-// JudgeAt is when there is something to judge; zero if there is nothing.
+// JudgeAt returns when Judge has to be called next; zero if there is nothing to judge.
 func (q Quarantine) JudgeAt() time.Time {
 	return q.judgeAt
 }
 
-// Judge sets aside the requests that the crashes speak against, and returns these
-// judgements; seen has the fingerprints among them of which this node saw an end itself.
+// Judge quarantines the requests that are found to cause crashes, and returns the judgements on
+// them. observed holds the fingerprints of those for which this node observed a crash itself.
 //
-// Whoever has most ends comes first. A crash at which it ran is put down to it and counts
-// no more against those that stood beside it, so that they come free.
+// The request with the most crashes is quarantined first. The crashes at which it was running are
+// attributed to it and no longer count against the other requests that were running there.
 func (q Quarantine) Judge(now time.Time) (judged Quarantine, judgements []Judgement, observed map[string]bool) {
 	if q.judgeAt.IsZero() || now.Before(q.judgeAt) {
 		return q, nil, nil
@@ -62,14 +63,15 @@
 	}
 }
 
-// event is a set of ends that happened together.
+// incident is a set of crashes that happened at about the same time.
 type incident struct {
 	startedAt time.Time
 	crashes   int
 }
 
-// events groups the crashes by when they were heard of, and returns each one's event, and
-// when the next event is to be judged; zero if all can be. Those that can't are left out.
+// incidents groups the crashes by the time of their first report. It returns the incident of each
+// upstream, and when the next incident can be judged; zero if all can be now. Incidents that can't
+// be judged yet are left out.
 func (q Quarantine) incidents(now time.Time) (byUpstream map[string]*incident, next time.Time) {
 	all := make([]crashRecord, 0, q.crashes.Len())
 	for i := q.crashes.Iterator(); !i.Done(); {
@@ -95,8 +97,8 @@
 	return byUpstream, time.Time{}
 }
 
-// nextVerdicts returns judgements on the request with most ends, and on those that can't be told
-// from it; none if no request has enough.
+// nextJudgements returns judgements on the request with the most crashes and on those that can't be
+// told apart from it; none if no request has enough crashes.
 func (q Quarantine) nextJudgements(suspects []string, incidents map[string]*incident) []Judgement {
 	var candidates []candidate
 	for _, fingerprint := range suspects {
@@ -125,13 +127,14 @@
 	return nil
 }
 
-// candidate is a request with enough ends, by what speaks against it.
+// candidate is the evidence against a request that has enough crashes.
 type candidate struct {
 	upstreams []string
 	weight    int
 }
 
-// weigh counts ends, those of one event as one or two.
+// evidenceWeight returns the number of crashes that the ends of the given upstreams count for: one
+// for each incident, or up to maxIncidentWeight if they are all crashes of the incident.
 func evidenceWeight(upstreams []string, incidents map[string]*incident) int {
 	crashes := map[*incident]int{}
 	for _, u := range upstreams {
@@ -150,8 +153,8 @@
 	return sum
 }
 
-// suspectsSince lists the requests of the crashes that are judged at a time or later; none if
-// it is zero.
+// suspectsJudgedSince returns the fingerprints of the suspects of all crashes that are due to be
+// judged at judgeAt or later; none if judgeAt is zero.
 func (q Quarantine) suspectsJudgedSince(judgeAt time.Time) []string {
 	if judgeAt.IsZero() {
 		return nil
@@ -170,7 +173,8 @@
 	return all
 }
 
-// repeated lists the requests that became suspects of late and have enough ends, by fingerprint.
+// frequentSuspects returns the sorted fingerprints of the new suspects that have at least minCrashes
+// crashes.
 func (q Quarantine) frequentSuspects() []string {
 	var all []string
 	for _, fingerprint := range q.newSuspects {
@@ -183,8 +187,8 @@
 	return slices.Compact(all)
 }
 
-// beside lists the requests that ran at all of some ends, by fingerprint, as far as all of
-// these still speak against them.
+// commonSuspects returns the requests that were running at the crashes of all given upstreams, as
+// far as all of these crashes still count against them. They are sorted by fingerprint.
 func (q Quarantine) commonSuspects(upstreams []string) []Suspect {
 	first, _ := q.crashes.Get(upstreams[0])
 	var all []Suspect
--- a/internal/chutequarantine/quarantine.go
+++ b/internal/chutequarantine/quarantine.go
@@ -9,97 +9,101 @@
 )
 
 const (
-	// TTL is how long a crash and a judgement count. A poison request that comes for
-	// longer costs as many upstreams again each time it is forgotten: three an hour. A
-	// request that is harmless by now, since a model was mended, comes free after it.
+	// TTL is the time after which crashes and judgements expire. A poison request that is sent for
+	// longer makes as many upstreams crash again after each expiry: three an hour. A request that
+	// has become harmless, since a model was fixed, is accepted again after this time.
 	TTL = time.Hour
-	// maxCrashes bounds the crashes that are kept; beyond, the oldest is dropped. Three
-	// times the upstreams of the largest site may end in one hour.
+	// maxCrashes is the maximum number of crashes that are kept; the oldest is dropped to make
+	// room. Three times as many upstreams as the largest site has may end in one hour.
 	maxCrashes = 2048
-	// maxSuspects bounds the suspects of one crash: the calls that an engine runs at once.
+	// maxSuspects is the maximum number of suspects of one crash: the number of calls that an
+	// engine runs at once.
 	maxSuspects = 64
-	// maxJudgements bounds the judgements that are kept, about 300 bytes each. Beyond,
-	// one of the workspace that has most is dropped, so that whoever sends thousands of
-	// poison requests pushes out none but its own.
+	// maxJudgements is the maximum number of judgements that are kept, about 300 bytes each. One of
+	// the workspace with the most judgements is dropped to make room, so that a workspace that
+	// sends thousands of poison requests displaces only its own judgements.
 	maxJudgements = 4096
 )
 
-// Suspect is a request that ran at an upstream when that ended.
+// Suspect identifies a request that was running at an upstream when the upstream crashed.
 type Suspect struct {
-	// Fingerprint names the request whatever sending it was.
+	// Fingerprint is the same each time that the request is sent.
 	Fingerprint string
 	Workspace   string
 	Pipeline    string
 }
 
-// Crash is the end of an upstream's process while it ran requests.
+// Crash describes the end of an upstream's process while it was running requests.
 type Crash struct {
-	// Upstream is the incarnation that ended.
+	// Upstream is the id of the upstream's incarnation that ended.
 	Upstream string
 	Pool     string
 	Suspects []Suspect
 }
 
-// Verdict is what is held of a request.
+// Verdict is the decision on a request.
 type Verdict string
 
 // The verdicts on a request.
 const (
-	// VerdictQuarantined: it is not handed to any upstream.
+	// VerdictQuarantined: the request is not sent to any upstream.
 	VerdictQuarantined Verdict = "Quarantined"
-	// VerdictCleared: an upstream has answered it since; what was held against it is void.
+	// VerdictCleared: an upstream has answered the request; the evidence against it is void.
 	VerdictCleared Verdict = "Cleared"
-	// VerdictLifted: an operator has set it free; what was held against it is void.
+	// VerdictLifted: an operator has lifted the quarantine; the evidence against it is void.
 	VerdictLifted Verdict = "Lifted"
 )
 
-// Judgement is a verdict on one request.
+// Judgement is a verdict on one request, with its evidence.
 type Judgement struct {
 	Suspect
 
 	Verdict Verdict
-	// Upstreams are the incarnations that ended under it: the evidence, or what is void.
+	// Upstreams are the incarnations that crashed while running the request: the evidence for
+	// VerdictQuarantined, the void evidence for the other verdicts.
 	Upstreams []string
 }
 
-// crash is a crash with when this node heard of it first.
+// crashRecord is a crash with the time when this node first learned of it.
 type crashRecord struct {
 	Crash
 
 	reportedAt time.Time
-	// own says that this node saw it itself.
+	// observed is true if this node observed the crash itself.
 	observed bool
 }
 
-// suspects says whether a request ran there.
+// hasSuspect reports whether a request was running at the crash.
 func (c crashRecord) hasSuspect(fingerprint string) bool {
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == fingerprint })
 }
 
-// judged is a judgement with when this node heard of it.
+// judgementRecord is a judgement with the time when this node learned of it.
 type judgementRecord struct {
 	Judgement
 
 	reportedAt time.Time
 }
 
-// Quarantine is what one node has heard of crashes and judgements; it is never changed in
-// place.
+// Quarantine holds the crashes and judgements that one node knows of. It is immutable.
 type Quarantine struct {
-	// crashes are by incarnation, crashesOf names the incarnations that ended under a request.
-	crashes            *immutable.Map[string, crashRecord]
+	// crashes maps an incarnation to its crash.
+	crashes *immutable.Map[string, crashRecord]
+	// upstreamsBySuspect maps a fingerprint to the incarnations that crashed while running the
+	// request.
 	upstreamsBySuspect *immutable.Map[string, []string]
-	judgements         *immutable.Map[string, judgementRecord]
-	// voids maps a request to the incarnations that count no more against it.
+	// judgements maps a fingerprint to the judgement on the request.
+	judgements *immutable.Map[string, judgementRecord]
+	// voidEvidence maps a fingerprint to the incarnations that no longer count against the request.
 	voidEvidence *immutable.Map[string, []string]
-	// unjudged are the requests that became suspects since crashes were last judged:
-	// no other one can have reached the number of ends that sets it aside.
+	// newSuspects are the fingerprints of the requests that became suspects since crashes were last
+	// judged: no other request can have reached the number of crashes for a quarantine.
 	newSuspects []string
-	// judgeAt is when there is something to judge; zero if there is nothing.
+	// judgeAt is when Judge has to be called next; zero if there is nothing to judge.
 	judgeAt time.Time
 }
 
-// New returns a quarantine that has heard of nothing.
+// New returns a quarantine without crashes and judgements.
 func New() Quarantine {
 	return Quarantine{
 		crashes:            immutable.NewMap[string, crashRecord](nil),
@@ -109,8 +113,8 @@
 	}
 }
 
-// WithCrash takes in a crash, or further suspects of a known one; own says that this node
-// saw it itself. It returns false if that is no news.
+// WithCrash adds a crash, or further suspects of a known one; observed is true if this node observed
+// the crash itself. It returns false if nothing was new.
 func (q Quarantine) WithCrash(c Crash, observed bool, now time.Time) (Quarantine, bool) {
 	known, ok := q.crashes.Get(c.Upstream)
 	if !ok {
@@ -138,7 +142,7 @@
 	return q, isNew
 }
 
-// withRoom drops the oldest crash if there are too many.
+// withRoomForCrash drops the oldest crash if there are maxCrashes.
 func (q Quarantine) withRoomForCrash() Quarantine {
 	if q.crashes.Len() < maxCrashes {
 		return q
@@ -174,10 +178,11 @@
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == item })
 }
 
-// WithJudgement takes in a judgement, own or heard. It returns false if that is no news.
+// WithJudgement adds a judgement of this node or another one. It returns false if it is not new.
 //
-// A request may be cleared or lifted at one node while another one still sets it aside. The
-// words arrive in either order; the verdict whose evidence is void by then is left out.
+// One node may clear a request, or an operator lift its quarantine, while another node still
+// quarantines it. The two judgements arrive in either order: a quarantine whose evidence is void by
+// then is ignored.
 func (q Quarantine) WithJudgement(j Judgement, now time.Time) (Quarantine, bool) {
 	known, ok := q.judgements.Get(j.Fingerprint)
 	if ok && known.Verdict == j.Verdict && slices.Equal(known.Upstreams, j.Upstreams) {
@@ -200,7 +205,8 @@
 	return q, true
 }
 
-// isVoid says whether too little of a verdict's evidence still counts.
+// lacksEvidence reports whether so much of a judgement's evidence is void that the rest is not enough
+// for a quarantine.
 func (q Quarantine) lacksEvidence(j Judgement) bool {
 	void, ok := q.voidEvidence.Get(j.Fingerprint)
 	valid := slices.DeleteFunc(slices.Clone(j.Upstreams), func(u string) bool { return slices.Contains(void, u) })
@@ -208,7 +214,8 @@
 	return ok && len(valid) < minCrashes
 }
 
-// withRoomFor drops the oldest judgement of the workspace that has most, if there are too many.
+// withRoomForJudgement drops the oldest judgement of the workspace with the most judgements if there
+// are maxJudgements.
 func (q Quarantine) withRoomForJudgement() Quarantine {
 	if q.judgements.Len() < maxJudgements {
 		return q
@@ -234,7 +241,8 @@
 	return q
 }
 
-// QuarantinedUntil says whether a request is set aside, and until when.
+// QuarantinedUntil returns until when a request is quarantined, and whether it is. The time may have
+// passed if Expire was not called since.
 func (q Quarantine) QuarantinedUntil(fingerprint string) (until time.Time, quarantined bool) {
 	j, ok := q.judgements.Get(fingerprint)
 	if !ok || j.Verdict != VerdictQuarantined {
@@ -244,7 +252,7 @@
 	return j.reportedAt.Add(TTL), true
 }
 
-// EvidenceAgainst lists the upstreams whose ends speak against a request by now.
+// EvidenceAgainst returns the upstreams whose crashes count against a request now.
 func (q Quarantine) EvidenceAgainst(fingerprint string) []string {
 	upstreams, _ := q.upstreamsBySuspect.Get(fingerprint)
 	void, _ := q.voidEvidence.Get(fingerprint)
@@ -252,7 +260,7 @@
 	return slices.DeleteFunc(slices.Clone(upstreams), func(u string) bool { return slices.Contains(void, u) || q.isAttributedToOther(u, fingerprint) })
 }
 
-// explained says whether a crash is put down to another request that is set aside.
+// isAttributedToOther reports whether a crash is attributed to another request, which is quarantined.
 func (q Quarantine) isAttributedToOther(upstream, fingerprint string) bool {
 	c, _ := q.crashes.Get(upstream)
 
@@ -263,14 +271,16 @@
 	})
 }
 
-// KnownCrash returns a crash as it is known; its incarnation is empty if it is not.
+// KnownCrash returns an upstream's crash with all suspects known so far; its Upstream is empty if no
+// crash is known.
 func (q Quarantine) KnownCrash(upstream string) Crash {
 	c, _ := q.crashes.Get(upstream)
 
 	return c.Crash
 }
 
-// Quarantined lists the requests that are set aside at a time, by fingerprint.
+// Quarantined returns the judgements on the requests that are quarantined at a time, sorted by
+// fingerprint.
 func (q Quarantine) Quarantined(now time.Time) []Judgement {
 	var quarantined []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
@@ -284,7 +294,7 @@
 	return quarantined
 }
 
-// Judgements lists what is held of requests, in no order.
+// Judgements returns all judgements, in no particular order.
 func (q Quarantine) Judgements() []Judgement {
 	var all []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
@@ -295,12 +305,12 @@
 	return all
 }
 
-// CrashCount counts the crashes that are known.
+// CrashCount returns the number of known crashes.
 func (q Quarantine) CrashCount() int {
 	return q.crashes.Len()
 }
 
-// Expire forgets what is older than Life.
+// Expire returns the quarantine without the crashes and judgements that are at least TTL old.
 func (q Quarantine) Expire(now time.Time) Quarantine {
 	for i := q.crashes.Iterator(); !i.Done(); {
 		if _, c, _ := i.Next(); now.Sub(c.reportedAt) >= TTL {
--- a/internal/chutequarantine/quarantine_test.go
+++ b/internal/chutequarantine/quarantine_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// world drives one quarantine as crashes are told.
+// harness drives one quarantine with crashes, judgements and a clock.
 type harness struct {
 	*qt.C
 
@@ -35,7 +35,7 @@
 	return all
 }
 
-// crash tells that one more upstream has ended, and returns which.
+// crash adds the crash of one more upstream and returns its id.
 func (h *harness) crash(fingerprints ...string) string {
 	h.crashCount++
 	upstream := fmt.Sprint("u", h.crashCount)
@@ -44,7 +44,7 @@
 	return upstream
 }
 
-// event ends upstreams at one moment, and lets the event settle.
+// incident adds crashes that happen at the same time, and advances the clock until they are judged.
 func (h *harness) incident(crashes ...[]string) {
 	for _, c := range crashes {
 		h.crash(c...)
@@ -52,12 +52,13 @@
 	h.advance(judgeDelay)
 }
 
+// advance moves the clock and judges what is due.
 func (h *harness) advance(d time.Duration) {
 	h.now = h.now.Add(d)
 	h.q, _, _ = h.q.Judge(h.now)
 }
 
-// answered tells that an upstream has answered a request.
+// addAnswer adds the judgement that clears a request, as after an answer of an upstream.
 func (h *harness) addAnswer(fingerprint string) {
 	if upstreams := h.q.EvidenceAgainst(fingerprint); len(upstreams) > 0 {
 		h.q, _ = h.q.WithJudgement(Judgement{
@@ -76,7 +77,7 @@
 }
 
 func TestJudge(t *testing.T) {
-	t.Run("a request is set aside after three ends", func(t *testing.T) {
+	t.Run("a request is quarantined after three crashes", func(t *testing.T) {
 		h := newHarness(t)
 		h.incident([]string{"p"})
 		h.incident([]string{"p"})
@@ -85,9 +86,9 @@
 		h.assertQuarantined("p")
 	})
 
-	t.Run("those that stood beside it come free", func(t *testing.T) {
-		// Each end takes other requests along. One of them was sent again and ran beside
-		// the poison request twice; the next end of another cause is its first.
+	t.Run("requests that ran beside a quarantined one are no longer suspected", func(t *testing.T) {
+		// Other requests are running at each crash. One of them was sent again and ran beside the
+		// poison request twice. A later crash with another cause counts as its first.
 		h := newHarness(t)
 		h.incident([]string{"a", "p", "b"})
 		h.incident([]string{"p", "b"})
@@ -98,7 +99,7 @@
 		h.assertQuarantined("p")
 	})
 
-	t.Run("two that were always together are told apart by one end more", func(t *testing.T) {
+	t.Run("two requests with the same crashes are told apart by one more crash", func(t *testing.T) {
 		h := newHarness(t)
 		for range 3 {
 			h.incident([]string{"a", "p"})
@@ -108,7 +109,7 @@
 		h.assertQuarantined("p")
 	})
 
-	t.Run("a third one is set aside while two can't be told apart", func(t *testing.T) {
+	t.Run("another request is quarantined while two can't be told apart", func(t *testing.T) {
 		h := newHarness(t)
 		for range 3 {
 			h.incident([]string{"a", "b"})
@@ -117,8 +118,8 @@
 		h.assertQuarantined("p")
 	})
 
-	t.Run("two that stay together are both set aside", func(t *testing.T) {
-		// Waiting for ever would end upstreams for ever.
+	t.Run("two requests that are never told apart are both quarantined", func(t *testing.T) {
+		// Without a limit, upstreams would go on crashing.
 		h := newHarness(t)
 		for range 4 {
 			h.incident([]string{"a", "p"})
@@ -126,7 +127,7 @@
 		h.assertQuarantined("a", "p")
 	})
 
-	t.Run("two poison requests by turns are both found", func(t *testing.T) {
+	t.Run("two poison requests that alternate are both quarantined", func(t *testing.T) {
 		h := newHarness(t)
 		for i := range 3 {
 			h.incident([]string{"p"})
@@ -135,15 +136,15 @@
 		h.assertQuarantined("p", "q")
 	})
 
-	t.Run("upstreams that end together are one event", func(t *testing.T) {
-		// A rack loses its power. A request that many callers send ran at three of ten
-		// upstreams; it ended none of them.
+	t.Run("crashes at the same time are one incident", func(t *testing.T) {
+		// A rack loses power. A request that many callers send was running at three of ten
+		// upstreams and caused none of the crashes.
 		h := newHarness(t)
 		h.incident([]string{"common", "a"}, []string{"common"}, []string{"common"}, []string{"b"})
 		h.assertQuarantined()
 	})
 
-	t.Run("neither do two racks in a row set anybody aside", func(t *testing.T) {
+	t.Run("two racks that lose power in turn quarantine no request", func(t *testing.T) {
 		h := newHarness(t)
 		for range 2 {
 			h.incident([]string{"common", "a"}, []string{"common"}, []string{"b"})
@@ -151,22 +152,22 @@
 		h.assertQuarantined()
 	})
 
-	t.Run("a pool that ends as a whole sets nobody aside", func(t *testing.T) {
+	t.Run("the crash of a whole pool quarantines no request", func(t *testing.T) {
 		h := newHarness(t)
 		h.incident([]string{"common"}, []string{"common"}, []string{"common"})
 		h.assertQuarantined()
 	})
 
-	t.Run("a request that is sent to several at once is set aside at its next end", func(t *testing.T) {
+	t.Run("a request that was sent to several upstreams at once is quarantined at its next crash", func(t *testing.T) {
 		h := newHarness(t)
 		h.incident([]string{"p"}, []string{"p"}, []string{"p"})
 		h.incident([]string{"p"})
 		h.assertQuarantined("p")
 	})
 
-	t.Run("ends in quick succession do not put the verdict off", func(t *testing.T) {
-		// Each end came before the one before it was settled. A verdict that waited for
-		// quiet would not fall while it is needed most.
+	t.Run("crashes in quick succession do not delay the judgement", func(t *testing.T) {
+		// Each crash comes before the previous one can be judged. If a judgement waited for a time
+		// without crashes, there would be none while it is needed most.
 		h := newHarness(t)
 		for range 6 {
 			h.crash("p")
@@ -188,9 +189,10 @@
 		h.Assert(h.q.EvidenceAgainst("a"), qt.HasLen, 2)
 	})
 
-	t.Run("a verdict that comes after the word that cleared it is left out", func(t *testing.T) {
-		// One node judges while another one delivers the answer. Taken in by the order in
-		// which the words arrive, an innocent request is set aside for an hour at some nodes.
+	t.Run("a quarantine that arrives after its evidence was voided is ignored", func(t *testing.T) {
+		// One node quarantines a request while another one delivers the answer to it. If the last
+		// judgement to arrive counted, an innocent request would be quarantined for an hour at some
+		// nodes.
 		h := newHarness(t)
 		at := []string{"u1", "u2", "u3"}
 		cleared := Judgement{Suspect: Suspect{Fingerprint: "a"}, Verdict: VerdictCleared, Upstreams: at}
@@ -204,8 +206,8 @@
 		}
 	})
 
-	t.Run("further suspects of a known end are taken in", func(t *testing.T) {
-		// Nodes tell of the same end one after the other, each what it had there.
+	t.Run("further suspects of a known crash are added", func(t *testing.T) {
+		// Nodes report the same crash one after the other, each with its own requests.
 		h := newHarness(t)
 		for range 3 {
 			u := h.crash("a")
@@ -216,14 +218,14 @@
 		h.assertQuarantined("p")
 	})
 
-	t.Run("what is told again is no news", func(t *testing.T) {
+	t.Run("a repeated report is not new", func(t *testing.T) {
 		h := newHarness(t)
 		u := h.crash("a")
 		_, isNew := h.q.WithCrash(Crash{Upstream: u, Suspects: suspects("a")}, false, h.now)
 		h.Assert(isNew, qt.IsFalse)
 	})
 
-	t.Run("a lifted request needs as many ends again", func(t *testing.T) {
+	t.Run("a request whose quarantine was lifted needs as many crashes again", func(t *testing.T) {
 		h := newHarness(t)
 		for range 3 {
 			h.incident([]string{"p"})
@@ -241,7 +243,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	t.Run("crashes and judgements are forgotten in the end", func(t *testing.T) {
+	t.Run("crashes and judgements expire", func(t *testing.T) {
 		h := newHarness(t)
 		for range 3 {
 			h.incident([]string{"p"})
@@ -253,7 +255,7 @@
 		h.Assert(h.q.EvidenceAgainst("p"), qt.HasLen, 0)
 	})
 
-	t.Run("of too many crashes the oldest goes", func(t *testing.T) {
+	t.Run("the oldest crash is dropped if there are too many", func(t *testing.T) {
 		h := newHarness(t)
 		for i := range maxCrashes + 1 {
 			h.crash(fmt.Sprint("f", i))
@@ -264,7 +266,7 @@
 		h.Assert(h.q.EvidenceAgainst("f1"), qt.HasLen, 1)
 	})
 
-	t.Run("whoever fills the quarantine pushes out its own", func(t *testing.T) {
+	t.Run("a workspace with too many judgements displaces only its own", func(t *testing.T) {
 		h := newHarness(t)
 		quarantine := func(workspace, fingerprint string) {
 			h.q, _ = h.q.WithJudgement(Judgement{
@@ -282,18 +284,20 @@
 	})
 }
 
-// day is a drawn succession of ends.
+// scenario is a random sequence of crashes and answers.
 type scenario struct {
 	*harness
 
 	t *rapid.T
-	// events counts the events of each poison request, tries the sendings of an innocent one.
+	// incidents counts the incidents that each poison request caused.
 	incidents map[string]int
-	sendings  map[string]int
-	newest    int
+	// sendings counts how often each innocent request was sent.
+	sendings map[string]int
+	// newest is the highest number that an innocent request can have at the next draw.
+	newest int
 }
 
-// innocents draws requests that stand beside an end.
+// drawInnocents draws the innocent requests that are running at a crash.
 func (s *scenario) drawInnocents() []string {
 	var innocents []string
 	for range rapid.IntRange(0, 4).Draw(s.t, "beside") {
@@ -308,7 +312,7 @@
 	return innocents
 }
 
-// step draws what happens next; there are so many poison requests.
+// drawStep draws and applies what happens next, with the given number of poison requests.
 func (s *scenario) drawStep(poisonCount int) {
 	switch rapid.SampledFrom([]string{"poison", "poison", "plain", "rack", "answer"}).Draw(s.t, "what") {
 	case "poison":
@@ -327,13 +331,14 @@
 	}
 }
 
-// TestInnocents draws days on which poison requests come again and again, upstreams end
-// alone and in racks for other reasons, and innocent requests stand beside all of it. Each
-// innocent request is sent twice at most without being answered, as callers do; one that
-// many send is answered now and then.
+// TestInnocents guards against innocent requests that are quarantined, and against poison requests
+// that are not. In random scenarios poison requests are sent again and again, upstreams end alone
+// and in racks for other reasons, and innocent requests are running at all of these crashes. Each
+// innocent request is sent at most twice without an answer, as callers do; a common one, which many
+// callers send, is answered from time to time.
 //
-// What holds: an innocent request is set aside on none of these days, and a poison request
-// after four events at the latest.
+// No innocent request may be quarantined, and each poison request must be after four incidents at the
+// latest.
 func TestInnocents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &scenario{harness: &harness{q: New(), now: start}, t: t, incidents: map[string]int{}, sendings: map[string]int{}}
@@ -343,12 +348,12 @@
 		}
 		for _, j := range s.q.Quarantined(s.now) {
 			if j.Fingerprint[0] != 'p' {
-				t.Fatalf("%s is set aside for %v", j.Fingerprint, j.Upstreams)
+				t.Fatalf("%s is quarantined because of %v", j.Fingerprint, j.Upstreams)
 			}
 		}
 		for p, n := range s.incidents {
 			if n > minCrashesOfPair {
-				t.Fatalf("%s ended upstreams at %d events", p, n)
+				t.Fatalf("%s made upstreams crash in %d incidents", p, n)
 			}
 		}
 	})
--- a/internal/chutequarantine/row.go
+++ b/internal/chutequarantine/row.go
@@ -8,13 +8,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefixes of the keys of crashes and of judgements in their table of the store.
+// Prefixes of the keys of crashes and of judgements in the quarantine table of the store.
 const (
 	CrashPrefix     = "crash/"
 	JudgementPrefix = "request/"
 )
 
-// CrashKey returns the key of what a node tells of an upstream's end.
+// CrashKey returns the key of a node's report of an upstream's crash.
 func CrashKey(upstream, node string) string {
 	return fmt.Sprintf("%s%016x", CrashPrefix, xxhash.Sum64String(upstream+"|"+node))
 }
@@ -24,7 +24,8 @@
 	return JudgementPrefix + fingerprint
 }
 
-// DecodeCrash decodes a crash's row; ok is false for other rows.
+// DecodeCrash decodes a crash's row. ok is false for other rows and if there is an error: the value is
+// not valid JSON, or names no upstream.
 func DecodeCrash(key string, value []byte) (c Crash, ok bool, err error) {
 	if !strings.HasPrefix(key, CrashPrefix) {
 		return Crash{}, false, nil
@@ -36,7 +37,8 @@
 	return c, err == nil, err
 }
 
-// DecodeJudgement decodes a judgement's row; ok is false for other rows.
+// DecodeJudgement decodes a judgement's row. ok is false for other rows and if there is an error: the
+// value is not valid JSON, or its fingerprint differs from that of the key.
 func DecodeJudgement(key string, value []byte) (j Judgement, ok bool, err error) {
 	fingerprint, hasPrefix := strings.CutPrefix(key, JudgementPrefix)
 	if !hasPrefix {
