--- a/internal/chutefair/fair_test.go
+++ b/internal/chutefair/fair_test.go
@@ -11,7 +11,7 @@
 var start = time.Unix(1000, 0)
 
 // steady returns a demand of workspaces that ask for the given work each second.
-func steady(seconds int, work map[string]float64) (Demand, time.Time) {
+func steadyDemand(seconds int, work map[string]float64) (Demand, time.Time) {
 	d := NewDemand()
 	now := start
 	for range seconds {
@@ -27,7 +27,7 @@
 func TestDemand(t *testing.T) {
 	t.Run("shares follow what is usual", func(t *testing.T) {
 		c := qt.New(t)
-		d, now := steady(memory, map[string]float64{"large": 90, "small": 10})
+		d, now := steadyDemand(averagedBins, map[string]float64{"large": 90, "small": 10})
 		large, small := d.Share("large", now), d.Share("small", now)
 		c.Assert(large > 0.8 && large < 0.9, qt.IsTrue, qt.Commentf("%f", large))
 		c.Assert(small > 0.1 && small < 0.2, qt.IsTrue, qt.Commentf("%f", small))
@@ -37,7 +37,7 @@
 		// A workspace sends eight times its usual for nine seconds. Taken as its new
 		// usual, the end of the burst would be within its share.
 		c := qt.New(t)
-		d, now := steady(memory, map[string]float64{"loud": 10, "other": 90})
+		d, now := steadyDemand(averagedBins, map[string]float64{"loud": 10, "other": 90})
 		before := d.Share("loud", now)
 		for range 9 {
 			d = d.WithWork("loud", 80, now).WithWork("other", 90, now)
@@ -49,7 +49,7 @@
 
 	t.Run("a lasting change becomes usual within a minute", func(t *testing.T) {
 		c := qt.New(t)
-		d, now := steady(20, map[string]float64{"grown": 10, "other": 90})
+		d, now := steadyDemand(20, map[string]float64{"grown": 10, "other": 90})
 		for range 60 {
 			d = d.WithWork("grown", 30, now).WithWork("other", 90, now)
 			now = now.Add(time.Second)
@@ -62,7 +62,7 @@
 		// Nothing counts beyond twice the usual of a second. Of a workspace that asked
 		// once in half a minute that is next to nothing, for minutes.
 		c := qt.New(t)
-		d, now := steady(1, map[string]float64{"seldom": 1, "other": 90})
+		d, now := steadyDemand(1, map[string]float64{"seldom": 1, "other": 90})
 		for i := range 600 {
 			d = d.WithWork("other", 90, now)
 			if i%30 == 0 {
@@ -80,7 +80,7 @@
 
 	t.Run("a new workspace has a share", func(t *testing.T) {
 		c := qt.New(t)
-		d, now := steady(memory, map[string]float64{"a": 50, "b": 50})
+		d, now := steadyDemand(averagedBins, map[string]float64{"a": 50, "b": 50})
 		share := d.WithWork("new", 500, now).Share("new", now)
 		c.Assert(share > 0.03 && share < 0.2, qt.IsTrue, qt.Commentf("%f", share))
 	})
@@ -88,7 +88,7 @@
 	t.Run("shares are equal at a start, whoever is loud", func(t *testing.T) {
 		// A collector is replaced in the middle of a burst of one workspace.
 		c := qt.New(t)
-		d, now := steady(3, map[string]float64{"loud": 500, "a": 10, "b": 10, "c": 10})
+		d, now := steadyDemand(3, map[string]float64{"loud": 500, "a": 10, "b": 10, "c": 10})
 		share := d.Share("loud", now)
 		c.Assert(share < 0.35, qt.IsTrue, qt.Commentf("%f", share))
 	})
@@ -99,7 +99,7 @@
 		for i := range 37_000 {
 			d = d.WithWork(fmt.Sprint("w", i), 1, start.Add(time.Duration(i)*time.Millisecond))
 		}
-		c.Assert(d.usual.Len() <= maxWorkspaces, qt.IsTrue)
+		c.Assert(d.workspaces.Len() <= maxWorkspaces, qt.IsTrue)
 	})
 }
 
@@ -128,13 +128,13 @@
 		c.Assert(q.Level("quiet", 0.1, 8), qt.Equals, 0)
 		c.Assert(q.Level("loud", 0.1, 8) > 0, qt.IsTrue)
 		c.Assert(q.Level("louder", 0.1, 8) > 0, qt.IsTrue)
-		c.Assert(q.levels[0] <= 2*(8+2), qt.IsTrue)
+		c.Assert(q.totals[0] <= 2*(8+2), qt.IsTrue)
 	})
 
 	t.Run("a queue that has emptied keeps nothing", func(t *testing.T) {
 		c := qt.New(t)
 		q := NewQueue().WithWork("a", 1, 3).WithWork("b", 0, 2).WithWork("a", 1, -3).WithWork("b", 0, -2)
 		c.Assert(q.waiting.Len(), qt.Equals, 0)
-		c.Assert(q.levels, qt.Equals, [maxLevel + 1]int{})
+		c.Assert(q.totals, qt.Equals, [maxLevel + 1]int{})
 	})
 }
--- a/internal/chutefair/queue.go
+++ b/internal/chutefair/queue.go
@@ -10,7 +10,7 @@
 	maxLevel = 3
 	// tolerance is the part of a level that a workspace may have, in times of its share:
 	// arrivals come in clumps, and twice the usual part of a queue is no rare chance.
-	tolerance = 2
+	shareTolerance = 2
 )
 
 // Queue counts the work that waits, by workspace and level; its values are immutable.
@@ -19,29 +19,29 @@
 // what exceeds the share of the one before, by the same rule: of two loud workspaces
 // each is held to its part of what the two want.
 type Queue struct {
-	waiting *immutable.Map[slot, int]
-	levels  [maxLevel + 1]int
+	waiting *immutable.Map[workspaceLevel, int]
+	totals  [maxLevel + 1]int
 }
 
 // slot is one workspace's work at one level.
-type slot struct {
+type workspaceLevel struct {
 	workspace string
 	level     int
 }
 
-type slotHasher struct{}
+type workspaceLevelHasher struct{}
 
-func (slotHasher) Hash(s slot) uint32 {
-	return uint32(xxhash.Sum64String(s.workspace)) + uint32(s.level) //nolint:gosec // a hash
+func (workspaceLevelHasher) Hash(k workspaceLevel) uint32 {
+	return uint32(xxhash.Sum64String(k.workspace)) + uint32(k.level) //nolint:gosec // a hash
 }
 
-func (slotHasher) Equal(a, b slot) bool {
+func (workspaceLevelHasher) Equal(a, b workspaceLevel) bool {
 	return a == b
 }
 
 // NewQueue returns a queue in which nothing waits.
 func NewQueue() Queue {
-	return Queue{waiting: immutable.NewMap[slot, int](slotHasher{})}
+	return Queue{waiting: immutable.NewMap[workspaceLevel, int](workspaceLevelHasher{})}
 }
 
 // WithWork adds work of a workspace at a level, or takes it away.
@@ -49,14 +49,14 @@
 	if work == 0 {
 		return q
 	}
-	key := slot{workspace: workspace, level: level}
-	was, _ := q.waiting.Get(key)
-	if was+work == 0 {
+	key := workspaceLevel{workspace: workspace, level: level}
+	previous, _ := q.waiting.Get(key)
+	if previous+work == 0 {
 		q.waiting = q.waiting.Delete(key)
 	} else {
-		q.waiting = q.waiting.Set(key, was+work)
+		q.waiting = q.waiting.Set(key, previous+work)
 	}
-	q.levels[level] += work
+	q.totals[level] += work
 
 	return q
 }
@@ -65,8 +65,8 @@
 // work that each workspace may have waiting at any level, whatever its share.
 func (q Queue) Level(workspace string, share float64, allowance int) int {
 	for level := range maxLevel {
-		own, _ := q.waiting.Get(slot{workspace: workspace, level: level})
-		if own <= allowance || float64(own) <= tolerance*share*float64(q.levels[level]) {
+		own, _ := q.waiting.Get(workspaceLevel{workspace: workspace, level: level})
+		if own <= allowance || float64(own) <= shareTolerance*share*float64(q.totals[level]) {
 			return level
 		}
 	}
