--- a/internal/chutefeed/change.go
+++ b/internal/chutefeed/change.go
@@ -29,12 +29,12 @@
 	// rowsAGroup is the number of rows that share a digest: with 16, what a node that
 	// changes whom it follows sends is one part in thirty of a table of 150 bytes a
 	// row, and each row that differs brings 15 others along.
-	rowsAGroup = 16
+	rowsPerGroup = 16
 	// MaxGroups bounds the digests of one table; beyond, groups are larger. 256 take 2 KB.
 	MaxGroups = 256
 	// wholeAbove is the part of all groups above which the whole table is sent: it is
 	// packed, which makes it a third as long.
-	wholeAbove = 3
+	wholeTableDivisor = 3
 )
 
 // Digests returns one digest for each group of rows; none if the table was never read.
@@ -42,22 +42,22 @@
 	if t.version == 0 {
 		return nil
 	}
-	count := min(MaxGroups, 1+len(t.rows)/rowsAGroup)
+	count := min(MaxGroups, 1+len(t.rows)/rowsPerGroup)
 
-	return t.digests(count)
+	return t.groupDigests(count)
 }
 
-func (t Table) digests(count int) []uint64 {
+func (t Table) groupDigests(count int) []uint64 {
 	digests := make([]uint64, count)
 	for _, row := range t.rows {
-		digests[groupOf(row.Key, count)] += digest(row)
+		digests[groupOfKey(row.Key, count)] += rowDigest(row)
 	}
 
 	return digests
 }
 
 // digest hashes what a row means.
-func digest(r Row) uint64 {
+func rowDigest(r Row) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Key)
 	_, _ = h.Write([]byte{0})
@@ -66,7 +66,7 @@
 	return h.Sum64()
 }
 
-func groupOf(key string, count int) uint32 {
+func groupOfKey(key string, count int) uint32 {
 	return uint32(xxhash.Sum64String(key) % uint64(max(1, count))) //nolint:gosec // below MaxGroups
 }
 
@@ -77,19 +77,19 @@
 		return whole
 	}
 	c := Change{Version: t.version, GroupCount: len(digests)}
-	for i, own := range t.digests(len(digests)) {
+	for i, own := range t.groupDigests(len(digests)) {
 		if own != digests[i] {
 			c.Groups = append(c.Groups, uint32(i)) //nolint:gosec // below MaxGroups
 		}
 	}
-	if wholeAbove*len(c.Groups) > len(digests) {
+	if wholeTableDivisor*len(c.Groups) > len(digests) {
 		return whole
 	}
 	if len(c.Groups) == 0 {
 		return c
 	}
 	for _, row := range t.rows {
-		if slices.Contains(c.Groups, groupOf(row.Key, len(digests))) {
+		if slices.Contains(c.Groups, groupOfKey(row.Key, len(digests))) {
 			c.Rows = append(c.Rows, row)
 		}
 	}
@@ -100,21 +100,21 @@
 // ChangeSince returns what changed from an earlier state to this one.
 func (t Table) ChangeSince(old Table) Change {
 	c := Change{Version: t.version}
-	before := old.rows
+	oldRows := old.rows
 	for _, row := range t.rows {
-		for len(before) > 0 && before[0].Key < row.Key {
-			c.DeletedKeys, before = append(c.DeletedKeys, before[0].Key), before[1:]
+		for len(oldRows) > 0 && oldRows[0].Key < row.Key {
+			c.DeletedKeys, oldRows = append(c.DeletedKeys, oldRows[0].Key), oldRows[1:]
 		}
-		if len(before) > 0 && before[0].Key == row.Key {
-			same := sameRow(before[0], row)
-			before = before[1:]
+		if len(oldRows) > 0 && oldRows[0].Key == row.Key {
+			same := isSameRow(oldRows[0], row)
+			oldRows = oldRows[1:]
 			if same {
 				continue
 			}
 		}
 		c.Rows = append(c.Rows, row)
 	}
-	for _, row := range before {
+	for _, row := range oldRows {
 		c.DeletedKeys = append(c.DeletedKeys, row.Key)
 	}
 
--- a/internal/chutefeed/feed.go
+++ b/internal/chutefeed/feed.go
@@ -5,7 +5,7 @@
 	// digests and version are the follower's own word, used until it was sent something.
 	digests []uint64
 	version uint64
-	begun   bool
+	started bool
 	sent    Table
 }
 
@@ -20,14 +20,14 @@
 // A follower that knows more than this node has heard of keeps what it has: this node's
 // rows would bring back an upstream that is leaving.
 func (f *Feed) NextChange(table Table) (Change, bool) {
-	if table.Version() == 0 || table.Version() < f.version || f.begun && table.Version() == f.version {
+	if table.Version() == 0 || table.Version() < f.version || f.started && table.Version() == f.version {
 		return Change{}, false
 	}
 	change := table.ChangeSince(f.sent)
-	if !f.begun {
+	if !f.started {
 		change = table.ChangeForDigests(f.digests)
 	}
-	f.begun, f.sent, f.version = true, table, table.Version()
+	f.started, f.sent, f.version = true, table, table.Version()
 
 	return change, true
 }
--- a/internal/chutefeed/table.go
+++ b/internal/chutefeed/table.go
@@ -68,35 +68,35 @@
 	if c.Whole {
 		return NewTable(c.Rows, version)
 	}
-	news := NewTable(c.Rows, 0).rows
-	gone := slices.Clone(c.DeletedKeys)
-	slices.Sort(gone)
-	drop := func(key string) bool {
-		_, isGone := slices.BinarySearch(gone, key)
+	newRows := NewTable(c.Rows, 0).rows
+	deleted := slices.Clone(c.DeletedKeys)
+	slices.Sort(deleted)
+	isDropped := func(key string) bool {
+		_, isDeleted := slices.BinarySearch(deleted, key)
 
-		return isGone || slices.Contains(c.Groups, groupOf(key, c.GroupCount))
+		return isDeleted || slices.Contains(c.Groups, groupOfKey(key, c.GroupCount))
 	}
-	merged := make([]Row, 0, len(t.rows)+len(news))
+	merged := make([]Row, 0, len(t.rows)+len(newRows))
 	for _, old := range t.rows {
-		for len(news) > 0 && news[0].Key < old.Key {
-			merged, news = append(merged, news[0]), news[1:]
+		for len(newRows) > 0 && newRows[0].Key < old.Key {
+			merged, newRows = append(merged, newRows[0]), newRows[1:]
 		}
 		switch {
-		case len(news) > 0 && news[0].Key == old.Key:
-			merged, news = append(merged, news[0]), news[1:]
-		case !drop(old.Key):
+		case len(newRows) > 0 && newRows[0].Key == old.Key:
+			merged, newRows = append(merged, newRows[0]), newRows[1:]
+		case !isDropped(old.Key):
 			merged = append(merged, old)
 		}
 	}
 
-	return Table{rows: append(merged, news...), version: version}
+	return Table{rows: append(merged, newRows...), version: version}
 }
 
 // HasSameRows says whether two tables hold rows that mean the same, whatever their versions.
 func (t Table) HasSameRows(other Table) bool {
-	return slices.EqualFunc(t.rows, other.rows, sameRow)
+	return slices.EqualFunc(t.rows, other.rows, isSameRow)
 }
 
-func sameRow(a, b Row) bool {
+func isSameRow(a, b Row) bool {
 	return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 }
--- a/internal/chutefeed/table_test.go
+++ b/internal/chutefeed/table_test.go
@@ -30,8 +30,8 @@
 	}))
 
 	t.Run("what is missing by digests leads to the table, whatever the holder has", rapid.MakeCheck(func(t *rapid.T) {
-		has, table := drawTable(t, "has"), drawTable(t, "table")
-		if got := has.WithChange(table.ChangeForDigests(has.Digests())); !got.HasSameRows(table) {
+		old, table := drawTable(t, "has"), drawTable(t, "table")
+		if got := old.WithChange(table.ChangeForDigests(old.Digests())); !got.HasSameRows(table) {
 			t.Fatalf("%v in place of %v", got, table)
 		}
 	}))
@@ -42,12 +42,12 @@
 		c := qt.New(t)
 		row := Row{Key: "u", Value: []byte("ready"), Version: 5}
 		b := NewTable([]Row{row}, 9)
-		fromA := NewTable(nil, 8)
-		c.Assert(fromA.WithChange(b.ChangeForDigests(fromA.Digests())).HasSameRows(b), qt.IsTrue)
+		ofFollower := NewTable(nil, 8)
+		c.Assert(ofFollower.WithChange(b.ChangeForDigests(ofFollower.Digests())).HasSameRows(b), qt.IsTrue)
 	})
 }
 
-func TestMissing(t *testing.T) {
+func TestChangeForDigests(t *testing.T) {
 	var rows []Row
 	for i := range 3000 {
 		rows = append(rows, Row{Key: fmt.Sprint("key", i), Value: []byte("ready"), Version: 1})
@@ -64,7 +64,7 @@
 		other := table.WithChange(Change{Version: 9, Rows: []Row{{Key: "key7", Value: []byte("leaving")}}})
 		change := table.ChangeForDigests(other.Digests())
 		c.Assert(change.Groups, qt.HasLen, 1)
-		c.Assert(len(change.Rows) < 3*rowsAGroup, qt.IsTrue)
+		c.Assert(len(change.Rows) < 3*rowsPerGroup, qt.IsTrue)
 	})
 
 	t.Run("digests that no node sends get the whole table", func(t *testing.T) {
