--- a/internal/chutefair/demand.go
+++ b/internal/chutefair/demand.go
@@ -9,50 +9,52 @@
 )
 
 const (
-	// bin is the span over which work is summed before it counts as demand.
+	// binLength is the time over which work is summed before it counts as demand.
 	binLength = time.Second
-	// memory is the number of bins over which usual demand is averaged: longer than a
-	// burst of one workspace, shorter than what an hour of the day changes.
+	// averagedBins is the number of bins over which the usual demand is averaged: longer than a burst
+	// of one workspace, and shorter than the time in which demand changes with the hour of the day.
 	averagedBins = 30
-	// learnBins is the number of bins before a workspace's demand is taken for usual.
+	// minBins is the number of bins from which on a workspace's demand counts as usual.
 	minBins = 5
-	// capRatio is how much of one bin counts, in times of the usual demand. A workspace
-	// that sends eight times its usual for nine seconds would otherwise have three times
-	// its share by then.
+	// maxBinRatio is the maximum work of one bin that is counted, as a multiple of the usual demand.
+	// Without it, a workspace that sends eight times its usual work for nine seconds would have
+	// three times its share by then.
 	maxBinRatio = 2
-	// floorPart is the part of the mean demand that every workspace has as demand, so
-	// that one that is new, or seldom there, has a share.
+	// minDemandRatio is the minimum demand of each workspace, as a part of the mean demand. It gives
+	// a share to workspaces that are new or seldom send work.
 	minDemandRatio = 0.25
-	// maxWorkspaces bounds the workspaces that are known apart; 4,096 take under 1 MB.
-	// Others count as new ones.
+	// maxWorkspaces is the maximum number of workspaces whose demand is stored; 4,096 take less than
+	// 1 MB. The others count as new.
 	maxWorkspaces = 4096
 )
 
-// Demand is what each workspace usually asks for; its values are immutable.
+// Demand holds the usual demand of each workspace. It is immutable.
 type Demand struct {
 	workspaces *immutable.Map[string, workspaceDemand]
-	// total is the sum of all rates.
+	// total is the sum of the rates of all workspaces.
 	total float64
-	// began is when the first work was seen.
+	// startedAt is when the first work was added.
 	startedAt time.Time
 }
 
-// usual is one workspace's demand.
+// workspaceDemand is the demand of one workspace.
 type workspaceDemand struct {
-	// rate is the usual work in a bin.
+	// rate is the usual work per bin.
 	rate float64
-	// from is when the open bin began, work what it holds, and bins the number of closed ones.
+	// openedAt is when the open bin started, and openWork is the work in it. closedBins is the number
+	// of closed bins, up to averagedBins.
 	openedAt   time.Time
 	openWork   float64
 	closedBins int
 }
 
-// NewDemand returns a demand that knows nobody.
+// NewDemand returns a demand without any workspace.
 func NewDemand() Demand {
 	return Demand{workspaces: immutable.NewMap[string, workspaceDemand](nil)}
 }
 
-// WithWork takes in work that a workspace asks for, in any unit that is the same for all.
+// WithWork returns the demand with work added that a workspace requests. The unit of work is arbitrary,
+// but the same in all calls.
 func (d Demand) WithWork(workspace string, work float64, now time.Time) Demand {
 	if d.startedAt.IsZero() {
 		d.startedAt = now
@@ -72,12 +74,12 @@
 	return d
 }
 
-// floor is the least demand that a workspace is taken to have.
+// minDemand returns the minimum demand of each workspace.
 func (d Demand) minDemand() float64 {
 	return minDemandRatio * d.total / float64(max(1, d.workspaces.Len()))
 }
 
-// at closes the bins that are over; floor is the least demand to take for usual.
+// advancedTo closes the bins that have ended. minDemand is the minimum demand of each workspace.
 func (u workspaceDemand) advancedTo(now time.Time, minDemand float64) workspaceDemand {
 	ended := int(now.Sub(u.openedAt) / binLength)
 	if ended <= 0 {
@@ -91,8 +93,8 @@
 	return u
 }
 
-// closed takes the open bin into the average. The floor lets one whose usual demand has
-// faded away in a long pause grow again.
+// withBinClosed adds the open bin to the average. Because of minDemand the rate can grow again after a
+// long pause has reduced it to almost nothing.
 func (u workspaceDemand) withBinClosed(minDemand float64) workspaceDemand {
 	work := u.openWork
 	if u.closedBins >= minBins {
@@ -105,7 +107,7 @@
 	return u
 }
 
-// withoutSmallest forgets the half of the workspaces that ask for least.
+// withoutSmallest removes the half of the workspaces with the smallest usual demand.
 func (d Demand) withoutSmallest() Demand {
 	type entry struct {
 		name string
@@ -127,11 +129,11 @@
 	return kept
 }
 
-// Share returns the part of a queue that is a workspace's, from 0 to 1: an equal one at
-// first, and its usual part of all demand as far as that is known.
+// Share returns a workspace's share of a queue, from 0 to 1. At first all workspaces have equal shares.
+// While demand is learned, the share changes gradually to the workspace's part of the usual demand.
 //
-// A node that takes a queue over in the middle of one workspace's burst knows nothing
-// else. Taken for usual at once, the burst would be within its share.
+// A node that takes over a queue in the middle of one workspace's burst has seen nothing but the
+// burst. If that counted as usual at once, the burst would be within the workspace's share.
 func (d Demand) Share(workspace string, now time.Time) float64 {
 	others := d.workspaces.Len()
 	if _, known := d.workspaces.Get(workspace); known {
@@ -146,12 +148,12 @@
 	return learned*d.usualShare(workspace) + (1-learned)*equal
 }
 
-// usualShare returns a workspace's part of the usual demand.
+// usualShare returns a workspace's part of the usual demand of all workspaces.
 func (d Demand) usualShare(workspace string) float64 {
 	u, _ := d.workspaces.Get(workspace)
 	rate := u.rate
 	if u.closedBins < minBins {
-		// What was seen of a new workspace may be its burst.
+		// What a new workspace has sent so far may be a burst.
 		rate = 0
 	}
 
--- a/internal/chutefair/doc.go
+++ b/internal/chutefair/doc.go
@@ -1,12 +1,12 @@
-// Package chutefair says which work of a shared queue is beyond its workspace's share.
+// Package chutefair decides which work in a shared queue exceeds its workspace's share.
 //
-// Demand is what a workspace usually asks for, learned by the second. Level puts work
-// that makes its workspace's part of the queue larger than twice its usual part behind
-// the others' work. Nothing is held back while a slot is free, and in a burst of all
-// workspaces alike nobody is beyond its share: the order by aim stays as it is.
+// Demand learns, second by second, how much work each workspace usually requests. Queue.Level puts
+// work behind the work of others if its workspace would otherwise have more than twice its usual
+// part of the queue. No work is held back while there is free capacity. In a burst of all
+// workspaces alike no workspace exceeds its share, and the order by target time stays.
 //
-// Weighed against it: start-time fair queueing and deficit round robin order all work by
-// tags or turns, so that of two requests the one with the later aim goes first as often
-// as not; equal shares turn away a large workspace's usual requests in each burst;
-// chuteadmission shares the slots of one node, where the queue is the node's own.
+// Other methods were considered. Start-time fair queueing and deficit round robin order all work by
+// tags or by turns, so that of two requests the one with the later target time goes first about half
+// of the time. With equal shares, usual requests of a large workspace are refused in each burst.
+// chuteadmission shares the capacity of one node, where each node has a queue of its own.
 package chutefair
--- a/internal/chutefair/fair_test.go
+++ b/internal/chutefair/fair_test.go
@@ -10,7 +10,8 @@
 
 var start = time.Unix(1000, 0)
 
-// steady returns a demand of workspaces that ask for the given work each second.
+// steadyDemand returns the demand, and the time, after workspaces have requested the given work each
+// second.
 func steadyDemand(seconds int, work map[string]float64) (Demand, time.Time) {
 	d := NewDemand()
 	now := start
@@ -25,7 +26,7 @@
 }
 
 func TestDemand(t *testing.T) {
-	t.Run("shares follow what is usual", func(t *testing.T) {
+	t.Run("shares follow the usual demand", func(t *testing.T) {
 		c := qt.New(t)
 		d, now := steadyDemand(averagedBins, map[string]float64{"large": 90, "small": 10})
 		large, small := d.Share("large", now), d.Share("small", now)
@@ -33,9 +34,9 @@
 		c.Assert(small > 0.1 && small < 0.2, qt.IsTrue, qt.Commentf("%f", small))
 	})
 
-	t.Run("a burst of seconds hardly changes what is usual", func(t *testing.T) {
-		// A workspace sends eight times its usual for nine seconds. Taken as its new
-		// usual, the end of the burst would be within its share.
+	t.Run("a burst of some seconds hardly changes the usual demand", func(t *testing.T) {
+		// A workspace sends eight times its usual work for nine seconds. If that became its usual
+		// demand, the end of the burst would be within its share.
 		c := qt.New(t)
 		d, now := steadyDemand(averagedBins, map[string]float64{"loud": 10, "other": 90})
 		before := d.Share("loud", now)
@@ -47,7 +48,7 @@
 		c.Assert(after < 1.6*before, qt.IsTrue, qt.Commentf("%f to %f", before, after))
 	})
 
-	t.Run("a lasting change becomes usual within a minute", func(t *testing.T) {
+	t.Run("a lasting change counts as usual within a minute", func(t *testing.T) {
 		c := qt.New(t)
 		d, now := steadyDemand(20, map[string]float64{"grown": 10, "other": 90})
 		for range 60 {
@@ -58,9 +59,9 @@
 		c.Assert(share > 0.2, qt.IsTrue, qt.Commentf("%f", share))
 	})
 
-	t.Run("a workspace that was hardly there becomes usual within a minute", func(t *testing.T) {
-		// Nothing counts beyond twice the usual of a second. Of a workspace that asked
-		// once in half a minute that is next to nothing, for minutes.
+	t.Run("the demand of a workspace that seldom sent work counts as usual within a minute", func(t *testing.T) {
+		// At most twice the usual work of a second is counted. For a workspace that sent work once
+		// in half a minute that would be next to nothing for minutes.
 		c := qt.New(t)
 		d, now := steadyDemand(1, map[string]float64{"seldom": 1, "other": 90})
 		for i := range 600 {
@@ -85,15 +86,15 @@
 		c.Assert(share > 0.03 && share < 0.2, qt.IsTrue, qt.Commentf("%f", share))
 	})
 
-	t.Run("shares are equal at a start, whoever is loud", func(t *testing.T) {
-		// A collector is replaced in the middle of a burst of one workspace.
+	t.Run("shares are equal at first, also during a burst of one workspace", func(t *testing.T) {
+		// A collector is replaced in the middle of a burst of one workspace, so that its demand starts anew.
 		c := qt.New(t)
 		d, now := steadyDemand(3, map[string]float64{"loud": 500, "a": 10, "b": 10, "c": 10})
 		share := d.Share("loud", now)
 		c.Assert(share < 0.35, qt.IsTrue, qt.Commentf("%f", share))
 	})
 
-	t.Run("the state is bounded at 37,000 workspaces", func(t *testing.T) {
+	t.Run("the state is bounded with 37,000 workspaces", func(t *testing.T) {
 		c := qt.New(t)
 		d := NewDemand()
 		for i := range 37_000 {
@@ -104,7 +105,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	t.Run("a burst of all alike is beyond nobody's share", func(t *testing.T) {
+	t.Run("no workspace exceeds its share in a burst of all alike", func(t *testing.T) {
 		c := qt.New(t)
 		q := NewQueue()
 		for range 100 {
@@ -117,7 +118,7 @@
 		}
 	})
 
-	t.Run("two loud ones are held to their shares, and the others go before both", func(t *testing.T) {
+	t.Run("two workspaces in a burst are limited to their shares, and the others go before both", func(t *testing.T) {
 		c := qt.New(t)
 		q := NewQueue()
 		for range 200 {
@@ -131,7 +132,7 @@
 		c.Assert(q.totals[0] <= 2*(8+2), qt.IsTrue)
 	})
 
-	t.Run("a queue that has emptied keeps nothing", func(t *testing.T) {
+	t.Run("an empty queue keeps no entries", func(t *testing.T) {
 		c := qt.New(t)
 		q := NewQueue().WithWork("a", 1, 3).WithWork("b", 0, 2).WithWork("a", 1, -3).WithWork("b", 0, -2)
 		c.Assert(q.waiting.Len(), qt.Equals, 0)
--- a/internal/chutefair/queue.go
+++ b/internal/chutefair/queue.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// maxLevel is the last level; what is further beyond its share waits there as well.
+	// maxLevel is the highest level. Work that exceeds its share by even more waits there as well.
 	maxLevel = 3
-	// tolerance is the part of a level that a workspace may have, in times of its share:
-	// arrivals come in clumps, and twice the usual part of a queue is no rare chance.
+	// shareTolerance is the maximum part of a level that a workspace may have, as a multiple of its
+	// share: arrivals are bursty, and twice the usual part of a queue is not rare.
 	shareTolerance = 2
 )
 
-// Queue counts the work that waits, by workspace and level; its values are immutable.
+// Queue counts the waiting work by workspace and level. It is immutable.
 //
-// Level 0 is work within its workspace's share, and goes first. Each further level holds
-// what exceeds the share of the one before, by the same rule: of two loud workspaces
-// each is held to its part of what the two want.
+// Level 0 holds the work within its workspace's share and goes first. Each further level holds the
+// work that exceeds the share of the level before, by the same rule. If two workspaces send too much
+// work, each is therefore limited to its part of the work of the two.
 type Queue struct {
 	waiting *immutable.Map[workspaceLevel, int]
-	totals  [maxLevel + 1]int
+	// totals are the sums of the waiting work of each level.
+	totals [maxLevel + 1]int
 }
 
-// slot is one workspace's work at one level.
+// workspaceLevel identifies the work of one workspace at one level.
 type workspaceLevel struct {
 	workspace string
 	level     int
 }
 
+// workspaceLevelHasher hashes workspaceLevels for immutable.Map.
 type workspaceLevelHasher struct{}
 
 func (workspaceLevelHasher) Hash(k workspaceLevel) uint32 {
@@ -39,12 +41,12 @@
 	return a == b
 }
 
-// NewQueue returns a queue in which nothing waits.
+// NewQueue returns a queue without waiting work.
 func NewQueue() Queue {
 	return Queue{waiting: immutable.NewMap[workspaceLevel, int](workspaceLevelHasher{})}
 }
 
-// WithWork adds work of a workspace at a level, or takes it away.
+// WithWork returns the queue with work of a workspace added at a level; negative work is removed.
 func (q Queue) WithWork(workspace string, level, work int) Queue {
 	if work == 0 {
 		return q
@@ -61,8 +63,8 @@
 	return q
 }
 
-// Level returns the level at which a workspace's next work is to wait; allowance is the
-// work that each workspace may have waiting at any level, whatever its share.
+// Level returns the level at which a workspace's next work has to wait. allowance is the amount of work
+// that each workspace may have at any level, whatever its share.
 func (q Queue) Level(workspace string, share float64, allowance int) int {
 	for level := range maxLevel {
 		own, _ := q.waiting.Get(workspaceLevel{workspace: workspace, level: level})
