--- a/internal/chutefeed/change.go
+++ b/internal/chutefeed/change.go
@@ -6,38 +6,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Change is what a holder of a table lacks.
+// Change is what turns one state of a table into another one.
 type Change struct {
-	// Version is that of the table after the change.
+	// Version is the version of the table after the change.
 	Version uint64
-	// Whole says that the table then holds Rows and nothing else.
+	// Whole is true if Rows are all rows of the table after the change.
 	Whole bool
-	// Groups lists groups of GroupCount that hold those of Rows and nothing else.
+	// Groups are the numbers of the groups, out of GroupCount, of which Rows holds all rows after the
+	// change.
 	Groups     []uint32
 	GroupCount int
-	Rows       []Row
-	// DeletedKeys lists keys that are deleted.
+	// Rows are the new and changed rows, with all others of the groups in Groups.
+	Rows []Row
+	// DeletedKeys are the keys of the deleted rows.
 	DeletedKeys []string
 }
 
-// IsEmpty says whether the change brings nothing but a version.
+// IsEmpty reports whether the change changes no rows, only the version.
 func (c Change) IsEmpty() bool {
 	return !c.Whole && len(c.Groups) == 0 && len(c.Rows) == 0 && len(c.DeletedKeys) == 0
 }
 
 const (
-	// rowsAGroup is the number of rows that share a digest: with 16, what a node that
-	// changes whom it follows sends is one part in thirty of a table of 150 bytes a
-	// row, and each row that differs brings 15 others along.
+	// rowsPerGroup is the number of rows that share a digest. With 16, a node that switches to another
+	// source sends digests of a thirtieth of the size of a table with 150 bytes per row, and for each
+	// row that differs 15 others are sent too.
 	rowsPerGroup = 16
-	// MaxGroups bounds the digests of one table; beyond, groups are larger. 256 take 2 KB.
+	// MaxGroups is the maximum number of digests of one table, which take 2 KB; the groups of larger
+	// tables have more rows.
 	MaxGroups = 256
-	// wholeAbove is the part of all groups above which the whole table is sent: it is
-	// packed, which makes it a third as long.
+	// wholeTableDivisor sets the part of all groups above which the whole table is sent, a third: a
+	// whole table is compressed to a third of its size.
 	wholeTableDivisor = 3
 )
 
-// Digests returns one digest for each group of rows; none if the table was never read.
+// Digests returns one digest for each group of rows; none if the table was never read from the store.
 func (t Table) Digests() []uint64 {
 	if t.version == 0 {
 		return nil
@@ -47,6 +50,7 @@
 	return t.groupDigests(count)
 }
 
+// groupDigests returns the digests of the given number of groups.
 func (t Table) groupDigests(count int) []uint64 {
 	digests := make([]uint64, count)
 	for _, row := range t.rows {
@@ -56,7 +60,7 @@
 	return digests
 }
 
-// digest hashes what a row means.
+// rowDigest returns a hash of the key and the value of a row.
 func rowDigest(r Row) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Key)
@@ -66,11 +70,13 @@
 	return h.Sum64()
 }
 
+// groupOfKey returns the number of the group, out of count, of the row with the given key.
 func groupOfKey(key string, count int) uint32 {
 	return uint32(xxhash.Sum64String(key) % uint64(max(1, count))) //nolint:gosec // below MaxGroups
 }
 
-// ChangeForDigests returns what the holder of a table with the digests lacks of this one.
+// ChangeForDigests returns the change from a state of the table with the given digests to this one. It
+// is the whole table if there are no digests, more than MaxGroups, or too many that differ.
 func (t Table) ChangeForDigests(digests []uint64) Change {
 	whole := Change{Version: t.version, Whole: true, Rows: t.rows}
 	if len(digests) == 0 || len(digests) > MaxGroups {
@@ -97,7 +103,7 @@
 	return c
 }
 
-// ChangeSince returns what changed from an earlier state to this one.
+// ChangeSince returns the change from an earlier state of the table to this one.
 func (t Table) ChangeSince(old Table) Change {
 	c := Change{Version: t.version}
 	oldRows := old.rows
--- a/internal/chutefeed/table.go
+++ b/internal/chutefeed/table.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// Row is one row; equal values mean the same to whoever decides by them.
+// Row is one row of a table. Rows with the same key and value are treated as equal.
 type Row struct {
 	Key   string
 	Value []byte
-	// Version is the store's version at which the row was written.
+	// Version is the version of the store at which the row was written.
 	Version uint64
 }
 
-// Table is an immutable state of a table; the zero value is one that was never read.
+// Table is an immutable state of a table. The zero value is a table that was never read from the store.
 type Table struct {
-	// rows are sorted by key.
+	// rows are sorted by key, and have one row per key.
 	rows    []Row
 	version uint64
 }
 
-// NewTable returns a table of rows in any order, as of a version of the store; of rows
-// with one key the newest counts.
+// NewTable returns a table with the given rows, in any order, as of a version of the store. Of rows with
+// the same key it keeps the newest.
 func NewTable(rows []Row, version uint64) Table {
 	sorted := slices.Clone(rows)
 	slices.SortFunc(sorted, func(a, b Row) int { return cmp.Or(cmp.Compare(a.Key, b.Key), cmp.Compare(b.Version, a.Version)) })
@@ -30,12 +30,12 @@
 	return Table{rows: slices.CompactFunc(sorted, func(a, b Row) bool { return a.Key == b.Key }), version: version}
 }
 
-// Version returns the version of the store as of which the table is true; 0 if it was never read.
+// Version returns the version of the store that the table reflects; 0 if it was never read.
 func (t Table) Version() uint64 {
 	return t.version
 }
 
-// Rows returns all rows by key; the caller must not change them.
+// Rows returns all rows, sorted by key; the caller must not change them.
 func (t Table) Rows() []Row {
 	return t.rows
 }
@@ -45,7 +45,7 @@
 	return len(t.rows)
 }
 
-// Get returns a row, and false if there is none with the key.
+// Get returns the row with a key, and false if there is none.
 func (t Table) Get(key string) (Row, bool) {
 	i, ok := slices.BinarySearchFunc(t.rows, key, func(r Row, k string) int { return cmp.Compare(r.Key, k) })
 	if !ok {
@@ -55,14 +55,14 @@
 	return t.rows[i], true
 }
 
-// WithVersion returns the table as of a later version; an earlier one changes nothing.
+// WithVersion returns the table with a later version; an earlier version is ignored.
 func (t Table) WithVersion(version uint64) Table {
 	t.version = max(t.version, version)
 
 	return t
 }
 
-// WithChange returns the table with a change taken in.
+// WithChange returns the table with a change applied.
 func (t Table) WithChange(c Change) Table {
 	version := max(t.version, c.Version)
 	if c.Whole {
@@ -92,11 +92,13 @@
 	return Table{rows: append(merged, newRows...), version: version}
 }
 
-// HasSameRows says whether two tables hold rows that mean the same, whatever their versions.
+// HasSameRows reports whether two tables have rows with the same keys and values, whatever their
+// versions.
 func (t Table) HasSameRows(other Table) bool {
 	return slices.EqualFunc(t.rows, other.rows, isSameRow)
 }
 
+// isSameRow reports whether two rows have the same key and value.
 func isSameRow(a, b Row) bool {
 	return a.Key == b.Key && bytes.Equal(a.Value, b.Value)
 }
--- a/internal/chutefeed/table_test.go
+++ b/internal/chutefeed/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTable draws a table of a few keys, so that tables share many of them.
+// drawTable draws a table with keys from a small set, so that drawn tables have many keys in common.
 func drawTable(t *rapid.T, name string) Table {
 	values := rapid.MapOf(rapid.IntRange(0, 60), rapid.IntRange(0, 2)).Draw(t, name)
 	var rows []Row
@@ -22,23 +22,24 @@
 }
 
 func TestChanges(t *testing.T) {
-	t.Run("what changed since a state leads from it to the later one", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("the change since a state turns it into the later state", rapid.MakeCheck(func(t *rapid.T) {
 		old, next := drawTable(t, "old"), drawTable(t, "next")
 		if got := old.WithChange(next.ChangeSince(old)); !got.HasSameRows(next) {
-			t.Fatalf("%v in place of %v", got, next)
+			t.Fatalf("%v instead of %v", got, next)
 		}
 	}))
 
-	t.Run("what is missing by digests leads to the table, whatever the holder has", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("the change for the digests of any state turns it into the table", rapid.MakeCheck(func(t *rapid.T) {
 		old, table := drawTable(t, "has"), drawTable(t, "table")
 		if got := old.WithChange(table.ChangeForDigests(old.Digests())); !got.HasSameRows(table) {
-			t.Fatalf("%v in place of %v", got, table)
+			t.Fatalf("%v instead of %v", got, table)
 		}
 	}))
 
-	t.Run("rows that came back unseen are found", func(t *testing.T) {
-		// Node A saw an upstream's row go at 8; it is back at 9 as it was. Node B read at
-		// 7 and at 9 and saw no change. Who followed A and turns to B must get the row.
+	t.Run("rows that were deleted and written again unseen are found", func(t *testing.T) {
+		// An upstream's row was deleted at version 8 and written again unchanged at version 9. Node A
+		// read at 8. Node B read at 7 and at 9 and saw no change. A follower of A that starts to
+		// follow B must get the row.
 		c := qt.New(t)
 		row := Row{Key: "u", Value: []byte("ready"), Version: 5}
 		b := NewTable([]Row{row}, 9)
@@ -54,12 +55,12 @@
 	}
 	table := NewTable(rows, 9)
 
-	t.Run("the same rows under another version are not sent", func(t *testing.T) {
+	t.Run("equal rows of another version are not sent", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(table.ChangeForDigests(NewTable(rows, 3).Digests()).IsEmpty(), qt.IsTrue)
 	})
 
-	t.Run("one row that differs brings its group along", func(t *testing.T) {
+	t.Run("for one row that differs its group is sent", func(t *testing.T) {
 		c := qt.New(t)
 		other := table.WithChange(Change{Version: 9, Rows: []Row{{Key: "key7", Value: []byte("leaving")}}})
 		change := table.ChangeForDigests(other.Digests())
@@ -67,7 +68,7 @@
 		c.Assert(len(change.Rows) < 3*rowsPerGroup, qt.IsTrue)
 	})
 
-	t.Run("digests that no node sends get the whole table", func(t *testing.T) {
+	t.Run("for more digests than any node sends the whole table is sent", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(table.ChangeForDigests(make([]uint64, MaxGroups+1)).Whole, qt.IsTrue)
 	})
