--- a/internal/chutequarantine/bench_test.go
+++ b/internal/chutequarantine/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // fullQuarantine returns a quarantine with maxCrashes crashes and eight suspects each. The first
-// suspect of each crash is one of a hundred that were running at several crashes.
+// suspect of each crash is one of a hundred requests that were running at several crashes each.
 func fullQuarantine() Quarantine {
 	q := New()
 	for i := range maxCrashes {
--- a/internal/chutequarantine/judge.go
+++ b/internal/chutequarantine/judge.go
@@ -98,7 +98,8 @@
 }
 
 // nextJudgements returns judgements on the request with the most crashes and on those that can't be
-// told apart from it; none if no request has enough crashes.
+// told apart from it; none if no request has enough crashes. A request that can't be told apart from
+// another one needs minCrashesOfPair.
 func (q Quarantine) nextJudgements(suspects []string, incidents map[string]*incident) []Judgement {
 	var candidates []candidate
 	for _, fingerprint := range suspects {
