--- a/internal/chutequarantine/quarantine.go
+++ b/internal/chutequarantine/quarantine.go
@@ -178,7 +178,8 @@
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == item })
 }
 
-// WithJudgement adds a judgement of this node or another one. It returns false if it is not new.
+// WithJudgement adds a judgement of this node or another one. It returns false if it is not new
+// or is ignored.
 //
 // One node may clear a request, or an operator lift its quarantine, while another node still
 // quarantines it. The two judgements arrive in either order: a quarantine whose evidence is void by
