--- a/internal/chutefeed/change.go
+++ b/internal/chutefeed/change.go
@@ -6,58 +6,62 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Change is what a holder of a table lacks.
+// Change is what turns one state of a table into another one.
 type Change struct {
-	// Version is that of the table after the change.
+	// Version is the version of the table after the change.
 	Version uint64
-	// Whole says that the table then holds Rows and nothing else.
+	// Whole is true if Rows are all rows of the table after the change.
 	Whole bool
-	// Groups lists groups of GroupCount that hold those of Rows and nothing else.
+	// Groups are the numbers of the groups, out of GroupCount, of which Rows holds all rows after the
+	// change.
 	Groups     []uint32
 	GroupCount int
-	Rows       []Row
-	// Gone lists keys that are deleted.
-	Gone []string
+	// Rows are the new and changed rows, with all others of the groups in Groups.
+	Rows []Row
+	// DeletedKeys are the keys of the deleted rows.
+	DeletedKeys []string
 }
 
-// Empty says whether the change brings nothing but a version.
-func (c Change) Empty() bool {
-	return !c.Whole && len(c.Groups) == 0 && len(c.Rows) == 0 && len(c.Gone) == 0
+// IsEmpty reports whether the change changes no rows, only the version.
+func (c Change) IsEmpty() bool {
+	return !c.Whole && len(c.Groups) == 0 && len(c.Rows) == 0 && len(c.DeletedKeys) == 0
 }
 
 const (
-	// rowsAGroup is the number of rows that share a digest: with 16, what a node that
-	// changes whom it follows sends is one part in thirty of a table of 150 bytes a
-	// row, and each row that differs brings 15 others along.
-	rowsAGroup = 16
-	// MaxGroups bounds the digests of one table; beyond, groups are larger. 256 take 2 KB.
+	// rowsPerGroup is the number of rows that share a digest. With 16, a node that switches to another
+	// source sends digests of a thirtieth of the size of a table with 150 bytes per row, and for each
+	// row that differs 15 others are sent too.
+	rowsPerGroup = 16
+	// MaxGroups is the maximum number of digests of one table, which take 2 KB; the groups of larger
+	// tables have more rows.
 	MaxGroups = 256
-	// wholeAbove is the part of all groups above which the whole table is sent: it is
-	// packed, which makes it a third as long.
-	wholeAbove = 3
+	// wholeTableDivisor sets the part of all groups above which the whole table is sent, a third: a
+	// whole table is compressed to a third of its size.
+	wholeTableDivisor = 3
 )
 
-// Digests returns one digest for each group of rows; none if the table was never read.
+// Digests returns one digest for each group of rows; none if the table was never read from the store.
 func (t Table) Digests() []uint64 {
 	if t.version == 0 {
 		return nil
 	}
-	count := min(MaxGroups, 1+len(t.rows)/rowsAGroup)
+	count := min(MaxGroups, 1+len(t.rows)/rowsPerGroup)
 
-	return t.digests(count)
+	return t.groupDigests(count)
 }
 
-func (t Table) digests(count int) []uint64 {
+// groupDigests returns the digests of the given number of groups.
+func (t Table) groupDigests(count int) []uint64 {
 	digests := make([]uint64, count)
 	for _, row := range t.rows {
-		digests[groupOf(row.Key, count)] += digest(row)
+		digests[groupOfKey(row.Key, count)] += rowDigest(row)
 	}
 
 	return digests
 }
 
-// digest hashes what a row means.
-func digest(r Row) uint64 {
+// rowDigest returns a hash of the key and the value of a row.
+func rowDigest(r Row) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(r.Key)
 	_, _ = h.Write([]byte{0})
@@ -66,30 +70,32 @@
 	return h.Sum64()
 }
 
-func groupOf(key string, count int) uint32 {
+// groupOfKey returns the number of the group, out of count, of the row with the given key.
+func groupOfKey(key string, count int) uint32 {
 	return uint32(xxhash.Sum64String(key) % uint64(max(1, count))) //nolint:gosec // below MaxGroups
 }
 
-// Missing returns what the holder of a table with the digests lacks of this one.
-func (t Table) Missing(digests []uint64) Change {
+// ChangeForDigests returns the change from a state of the table with the given digests to this one. It
+// is the whole table if there are no digests, more than MaxGroups, or too many that differ.
+func (t Table) ChangeForDigests(digests []uint64) Change {
 	whole := Change{Version: t.version, Whole: true, Rows: t.rows}
 	if len(digests) == 0 || len(digests) > MaxGroups {
 		return whole
 	}
 	c := Change{Version: t.version, GroupCount: len(digests)}
-	for i, own := range t.digests(len(digests)) {
+	for i, own := range t.groupDigests(len(digests)) {
 		if own != digests[i] {
 			c.Groups = append(c.Groups, uint32(i)) //nolint:gosec // below MaxGroups
 		}
 	}
-	if wholeAbove*len(c.Groups) > len(digests) {
+	if wholeTableDivisor*len(c.Groups) > len(digests) {
 		return whole
 	}
 	if len(c.Groups) == 0 {
 		return c
 	}
 	for _, row := range t.rows {
-		if slices.Contains(c.Groups, groupOf(row.Key, len(digests))) {
+		if slices.Contains(c.Groups, groupOfKey(row.Key, len(digests))) {
 			c.Rows = append(c.Rows, row)
 		}
 	}
@@ -97,25 +103,25 @@
 	return c
 }
 
-// Since returns what changed from an earlier state to this one.
-func (t Table) Since(old Table) Change {
+// ChangeSince returns the change from an earlier state of the table to this one.
+func (t Table) ChangeSince(old Table) Change {
 	c := Change{Version: t.version}
-	before := old.rows
+	oldRows := old.rows
 	for _, row := range t.rows {
-		for len(before) > 0 && before[0].Key < row.Key {
-			c.Gone, before = append(c.Gone, before[0].Key), before[1:]
+		for len(oldRows) > 0 && oldRows[0].Key < row.Key {
+			c.DeletedKeys, oldRows = append(c.DeletedKeys, oldRows[0].Key), oldRows[1:]
 		}
-		if len(before) > 0 && before[0].Key == row.Key {
-			same := sameRow(before[0], row)
-			before = before[1:]
+		if len(oldRows) > 0 && oldRows[0].Key == row.Key {
+			same := isSameRow(oldRows[0], row)
+			oldRows = oldRows[1:]
 			if same {
 				continue
 			}
 		}
 		c.Rows = append(c.Rows, row)
 	}
-	for _, row := range before {
-		c.Gone = append(c.Gone, row.Key)
+	for _, row := range oldRows {
+		c.DeletedKeys = append(c.DeletedKeys, row.Key)
 	}
 
 	return c
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -115,7 +115,7 @@
 	evacuated map[string]bool
 	bounds    coldBounds
 	// limitOwners are the nodes among which the limits of upstreams are divided.
-	limitOwners chutequota.Owners
+	limitOwners chutequota.Allocator
 }
 
 // New returns an empty fleet for a node in a zone.
@@ -140,7 +140,7 @@
 	return f.withMember(id, func(m *member) {
 		m.inFlight++
 		if m.warmup.isCold(now) {
-			m.warmup.sent = m.warmup.sent.With(coldQuotaSpan, now)
+			m.warmup.sent = m.warmup.sent.WithSpent(coldQuotaSpan, now)
 		}
 		if m.limit.isSet {
 			m.limit = m.limit.withCallSent(now)
--- a/internal/chutefleet/limit.go
+++ b/internal/chutefleet/limit.go
@@ -47,7 +47,7 @@
 
 // withCallSent counts a call that is sent to a member with a limit.
 func (l limit) withCallSent(now time.Time) limit {
-	l.sent = l.sent.With(l.Span, now)
+	l.sent = l.sent.WithSpent(l.Span, now)
 	l.lastSentAt = now
 
 	return l
@@ -74,7 +74,7 @@
 
 // WithLimitOwners replaces the nodes among which limits are divided: those that may send
 // calls.
-func (f Fleet) WithLimitOwners(owners chutequota.Owners) Fleet {
+func (f Fleet) WithLimitOwners(owners chutequota.Allocator) Fleet {
 	f.limitOwners = owners
 	for _, id := range f.memberIDs() {
 		if m, _ := f.members.Get(id); m.limit.isSet {
@@ -124,7 +124,7 @@
 func (f Fleet) limitAvailability(m *member, now time.Time) Availability {
 	next := f.nextTrialAt(m)
 	if m.limit.Quota > 0 {
-		next = m.limit.sent.Next(m.limit.Quota, m.limit.Span, now)
+		next = m.limit.sent.NextAt(m.limit.Quota, m.limit.Span, now)
 	}
 	if next.After(now) {
 		return Availability{Reason: BlockLimited, Until: next}
@@ -157,7 +157,7 @@
 // to check whether the limit still applies.
 func (f Fleet) nextTrialAt(m *member) time.Time {
 	perSecond := trialShare * max(minLimitRate, m.limit.PerSecond)
-	interval := max(minTrialInterval, time.Duration(float64(f.limitOwners.Len())/perSecond*float64(time.Second)))
+	interval := max(minTrialInterval, time.Duration(float64(f.limitOwners.NodeCount())/perSecond*float64(time.Second)))
 	if m.limit.lastSentAt.After(m.limit.receivedAt) {
 		return m.limit.lastSentAt.Add(interval)
 	}
--- a/internal/chutefleet/warmup.go
+++ b/internal/chutefleet/warmup.go
@@ -24,7 +24,7 @@
 // modified.
 type coldBounds struct {
 	pools  map[string]ColdBound
-	owners chutequota.Owners
+	owners chutequota.Allocator
 }
 
 // warmup is the state of an upstream's warm-up.
@@ -60,7 +60,7 @@
 
 		return Availability{Reason: BlockCold, Until: until}
 	}
-	if next := w.sent.Next(w.quota, coldQuotaSpan, now); next.After(now) {
+	if next := w.sent.NextAt(w.quota, coldQuotaSpan, now); next.After(now) {
 		return Availability{Reason: BlockCold, Until: next}
 	}
 
@@ -78,7 +78,7 @@
 // WithNodes replaces the names of all nodes, and of this one, among which the cold bounds
 // are divided.
 func (f Fleet) WithNodes(self string, nodes []string) Fleet {
-	f.bounds.owners = chutequota.NewOwners(self, nodes)
+	f.bounds.owners = chutequota.NewAllocator(self, nodes)
 
 	return f.withQuotas()
 }
--- a/internal/chutequarantine/bench_test.go
+++ b/internal/chutequarantine/bench_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// full returns a quarantine with as many crashes as it keeps, eight suspects each, of which
-// one in a hundred was at several.
-func full() Quarantine {
+// fullQuarantine returns a quarantine with maxCrashes crashes and eight suspects each. The first
+// suspect of each crash is one of a hundred requests that were running at several crashes each.
+func fullQuarantine() Quarantine {
 	q := New()
 	for i := range maxCrashes {
 		fingerprints := []string{fmt.Sprintf("%032d", i%100)}
@@ -26,18 +26,18 @@
 }
 
 func BenchmarkJudge(b *testing.B) {
-	q := full()
+	q := fullQuarantine()
 	for b.Loop() {
-		// One request became a suspect since the last judgement.
-		q.judgeAt, q.unjudged = start, []string{fmt.Sprintf("%032d", 7)}
+		// One request has become a suspect since the last judgement.
+		q.judgeAt, q.newSuspects = start, []string{fmt.Sprintf("%032d", 7)}
 		q.Judge(start.Add(maxCrashes * time.Second))
 	}
 }
 
 func BenchmarkHolds(b *testing.B) {
-	q := full()
+	q := fullQuarantine()
 	for b.Loop() {
-		q.Holds("00000000000000000000000000001234")
+		q.QuarantinedUntil("00000000000000000000000000001234")
 	}
 }
 
@@ -45,10 +45,10 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	q := full()
+	q := fullQuarantine()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	crash, _ := json.Marshal(q.Known("upstream-7"))
+	crash, _ := json.Marshal(q.KnownCrash("upstream-7"))
 	judgement, _ := json.Marshal(Judgement{
 		Suspect: suspects(fmt.Sprintf("%032d", 1))[0], Verdict: VerdictQuarantined, Upstreams: []string{"i-0b451d9786", "i-1623bee6ce", "i-757df45139"},
 	})
--- a/internal/chutequarantine/quarantine.go
+++ b/internal/chutequarantine/quarantine.go
@@ -9,143 +9,147 @@
 )
 
 const (
-	// Life is how long a crash and a judgement count. A poison request that comes for
-	// longer costs as many upstreams again each time it is forgotten: three an hour. A
-	// request that is harmless by now, since a model was mended, comes free after it.
-	Life = time.Hour
-	// maxCrashes bounds the crashes that are kept; beyond, the oldest is dropped. Three
-	// times the upstreams of the largest site may end in one hour.
+	// TTL is the time after which crashes and judgements expire. A poison request that is sent for
+	// longer makes as many upstreams crash again after each expiry: three an hour. A request that
+	// has become harmless, since a model was fixed, is accepted again after this time.
+	TTL = time.Hour
+	// maxCrashes is the maximum number of crashes that are kept; the oldest is dropped to make
+	// room. Three times as many upstreams as the largest site has may end in one hour.
 	maxCrashes = 2048
-	// maxSuspects bounds the suspects of one crash: the calls that an engine runs at once.
+	// maxSuspects is the maximum number of suspects of one crash: the number of calls that an
+	// engine runs at once.
 	maxSuspects = 64
-	// maxJudgements bounds the judgements that are kept, about 300 bytes each. Beyond,
-	// one of the workspace that has most is dropped, so that whoever sends thousands of
-	// poison requests pushes out none but its own.
+	// maxJudgements is the maximum number of judgements that are kept, about 300 bytes each. One of
+	// the workspace with the most judgements is dropped to make room, so that a workspace that
+	// sends thousands of poison requests displaces only its own judgements.
 	maxJudgements = 4096
 )
 
-// Suspect is a request that ran at an upstream when that ended.
+// Suspect identifies a request that was running at an upstream when the upstream crashed.
 type Suspect struct {
-	// Fingerprint names the request whatever sending it was.
+	// Fingerprint is the same each time that the request is sent.
 	Fingerprint string
 	Workspace   string
 	Pipeline    string
 }
 
-// Crash is the end of an upstream's process while it ran requests.
+// Crash describes the end of an upstream's process while it was running requests.
 type Crash struct {
-	// Upstream is the incarnation that ended.
+	// Upstream is the id of the upstream's incarnation that ended.
 	Upstream string
 	Pool     string
 	Suspects []Suspect
 }
 
-// Verdict is what is held of a request.
+// Verdict is the decision on a request.
 type Verdict string
 
 // The verdicts on a request.
 const (
-	// VerdictQuarantined: it is not handed to any upstream.
+	// VerdictQuarantined: the request is not sent to any upstream.
 	VerdictQuarantined Verdict = "Quarantined"
-	// VerdictCleared: an upstream has answered it since; what was held against it is void.
+	// VerdictCleared: an upstream has answered the request; the evidence against it is void.
 	VerdictCleared Verdict = "Cleared"
-	// VerdictLifted: an operator has set it free; what was held against it is void.
+	// VerdictLifted: an operator has lifted the quarantine; the evidence against it is void.
 	VerdictLifted Verdict = "Lifted"
 )
 
-// Judgement is a verdict on one request.
+// Judgement is a verdict on one request, with its evidence.
 type Judgement struct {
 	Suspect
 
 	Verdict Verdict
-	// Upstreams are the incarnations that ended under it: the evidence, or what is void.
+	// Upstreams are the incarnations that crashed while running the request: the evidence for
+	// VerdictQuarantined, the void evidence for the other verdicts.
 	Upstreams []string
 }
 
-// crash is a crash with when this node heard of it first.
-type crash struct {
+// crashRecord is a crash with the time when this node first learned of it.
+type crashRecord struct {
 	Crash
 
-	heardAt time.Time
-	// own says that this node saw it itself.
-	own bool
+	reportedAt time.Time
+	// observed is true if this node observed the crash itself.
+	observed bool
 }
 
-// suspects says whether a request ran there.
-func (c crash) suspects(fingerprint string) bool {
+// hasSuspect reports whether a request was running at the crash.
+func (c crashRecord) hasSuspect(fingerprint string) bool {
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool { return s.Fingerprint == fingerprint })
 }
 
-// judged is a judgement with when this node heard of it.
-type judged struct {
+// judgementRecord is a judgement with the time when this node learned of it.
+type judgementRecord struct {
 	Judgement
 
-	heardAt time.Time
+	reportedAt time.Time
 }
 
-// Quarantine is what one node has heard of crashes and judgements; it is never changed in
-// place.
+// Quarantine holds the crashes and judgements that one node knows of. It is immutable.
 type Quarantine struct {
-	// crashes are by incarnation, crashesOf names the incarnations that ended under a request.
-	crashes    *immutable.Map[string, crash]
-	crashesOf  *immutable.Map[string, []string]
-	judgements *immutable.Map[string, judged]
-	// voids maps a request to the incarnations that count no more against it.
-	voids *immutable.Map[string, []string]
-	// unjudged are the requests that became suspects since crashes were last judged:
-	// no other one can have reached the number of ends that sets it aside.
-	unjudged []string
-	// judgeAt is when there is something to judge; zero if there is nothing.
+	// crashes maps an incarnation to its crash.
+	crashes *immutable.Map[string, crashRecord]
+	// upstreamsBySuspect maps a fingerprint to the incarnations that crashed while running the
+	// request.
+	upstreamsBySuspect *immutable.Map[string, []string]
+	// judgements maps a fingerprint to the judgement on the request.
+	judgements *immutable.Map[string, judgementRecord]
+	// voidEvidence maps a fingerprint to the incarnations that no longer count against the request.
+	voidEvidence *immutable.Map[string, []string]
+	// newSuspects are the fingerprints of the requests that became suspects since crashes were last
+	// judged: no other request can have reached the number of crashes for a quarantine.
+	newSuspects []string
+	// judgeAt is when Judge has to be called next; zero if there is nothing to judge.
 	judgeAt time.Time
 }
 
-// New returns a quarantine that has heard of nothing.
+// New returns a quarantine without crashes and judgements.
 func New() Quarantine {
 	return Quarantine{
-		crashes:    immutable.NewMap[string, crash](nil),
-		crashesOf:  immutable.NewMap[string, []string](nil),
-		judgements: immutable.NewMap[string, judged](nil),
-		voids:      immutable.NewMap[string, []string](nil),
+		crashes:            immutable.NewMap[string, crashRecord](nil),
+		upstreamsBySuspect: immutable.NewMap[string, []string](nil),
+		judgements:         immutable.NewMap[string, judgementRecord](nil),
+		voidEvidence:       immutable.NewMap[string, []string](nil),
 	}
 }
 
-// WithCrash takes in a crash, or further suspects of a known one; own says that this node
-// saw it itself. It returns false if that is no news.
-func (q Quarantine) WithCrash(c Crash, own bool, now time.Time) (Quarantine, bool) {
+// WithCrash adds a crash, or further suspects of a known one; observed is true if this node observed
+// the crash itself. It returns false if nothing was new.
+func (q Quarantine) WithCrash(c Crash, observed bool, now time.Time) (Quarantine, bool) {
 	known, ok := q.crashes.Get(c.Upstream)
 	if !ok {
-		q = q.withRoom()
-		known = crash{Crash: Crash{Upstream: c.Upstream, Pool: c.Pool}, heardAt: now}
+		q = q.withRoomForCrash()
+		known = crashRecord{Crash: Crash{Upstream: c.Upstream, Pool: c.Pool}, reportedAt: now}
 	}
-	known.own = known.own || own
+	known.observed = known.observed || observed
 	known.Suspects = slices.Clip(known.Suspects)
-	news := !ok
+	isNew := !ok
 	for _, s := range c.Suspects {
-		if len(known.Suspects) >= maxSuspects || known.suspects(s.Fingerprint) {
+		if len(known.Suspects) >= maxSuspects || known.hasSuspect(s.Fingerprint) {
 			continue
 		}
-		news = true
+		isNew = true
 		known.Suspects = append(known.Suspects, s)
-		at, _ := q.crashesOf.Get(s.Fingerprint)
-		q.crashesOf = q.crashesOf.Set(s.Fingerprint, append(slices.Clip(at), c.Upstream))
-		q.unjudged = append(slices.Clip(q.unjudged), s.Fingerprint)
+		upstreams, _ := q.upstreamsBySuspect.Get(s.Fingerprint)
+		q.upstreamsBySuspect = q.upstreamsBySuspect.Set(s.Fingerprint, append(slices.Clip(upstreams), c.Upstream))
+		q.newSuspects = append(slices.Clip(q.newSuspects), s.Fingerprint)
 	}
 	q.crashes = q.crashes.Set(c.Upstream, known)
-	if news && q.judgeAt.IsZero() {
-		q.judgeAt = now.Add(settle)
+	if isNew && q.judgeAt.IsZero() {
+		q.judgeAt = now.Add(judgeDelay)
 	}
 
-	return q, news
+	return q, isNew
 }
 
-// withRoom drops the oldest crash if there are too many.
-func (q Quarantine) withRoom() Quarantine {
+// withRoomForCrash drops the oldest crash if there are maxCrashes.
+func (q Quarantine) withRoomForCrash() Quarantine {
 	if q.crashes.Len() < maxCrashes {
 		return q
 	}
-	var oldest crash
+	var oldest crashRecord
 	for i := q.crashes.Iterator(); !i.Done(); {
-		if _, c, _ := i.Next(); oldest.Upstream == "" || c.heardAt.Before(oldest.heardAt) {
+		if _, c, _ := i.Next(); oldest.Upstream == "" || c.reportedAt.Before(oldest.reportedAt) {
 			oldest = c
 		}
 	}
@@ -153,79 +157,83 @@
 	return q.withoutCrash(oldest)
 }
 
-func (q Quarantine) withoutCrash(c crash) Quarantine {
+func (q Quarantine) withoutCrash(c crashRecord) Quarantine {
 	q.crashes = q.crashes.Delete(c.Upstream)
 	for _, s := range c.Suspects {
-		at, _ := q.crashesOf.Get(s.Fingerprint)
-		at = without(at, c.Upstream)
-		if len(at) > 0 {
-			q.crashesOf = q.crashesOf.Set(s.Fingerprint, at)
+		upstreams, _ := q.upstreamsBySuspect.Get(s.Fingerprint)
+		upstreams = withoutItem(upstreams, c.Upstream)
+		if len(upstreams) > 0 {
+			q.upstreamsBySuspect = q.upstreamsBySuspect.Set(s.Fingerprint, upstreams)
 
 			continue
 		}
-		q.crashesOf = q.crashesOf.Delete(s.Fingerprint)
-		q.voids = q.voids.Delete(s.Fingerprint)
+		q.upstreamsBySuspect = q.upstreamsBySuspect.Delete(s.Fingerprint)
+		q.voidEvidence = q.voidEvidence.Delete(s.Fingerprint)
 	}
 
 	return q
 }
 
-func without(list []string, item string) []string {
+func withoutItem(list []string, item string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(s string) bool { return s == item })
 }
 
-// WithJudgement takes in a judgement, own or heard. It returns false if that is no news.
+// WithJudgement adds a judgement of this node or another one. It returns false if it is not new
+// or is ignored.
 //
-// A request may be cleared or lifted at one node while another one still sets it aside. The
-// words arrive in either order; the verdict whose evidence is void by then is left out.
+// One node may clear a request, or an operator lift its quarantine, while another node still
+// quarantines it. The two judgements arrive in either order: a quarantine whose evidence is void by
+// then is ignored.
 func (q Quarantine) WithJudgement(j Judgement, now time.Time) (Quarantine, bool) {
 	known, ok := q.judgements.Get(j.Fingerprint)
 	if ok && known.Verdict == j.Verdict && slices.Equal(known.Upstreams, j.Upstreams) {
 		return q, false
 	}
-	if j.Verdict == VerdictQuarantined && q.isVoid(j) {
+	if j.Verdict == VerdictQuarantined && q.lacksEvidence(j) {
 		return q, false
 	}
 	if !ok {
-		q = q.withRoomFor()
+		q = q.withRoomForJudgement()
 	}
-	q.judgements = q.judgements.Set(j.Fingerprint, judged{Judgement: j, heardAt: now})
+	q.judgements = q.judgements.Set(j.Fingerprint, judgementRecord{Judgement: j, reportedAt: now})
 	if j.Verdict != VerdictQuarantined {
-		void, _ := q.voids.Get(j.Fingerprint)
+		void, _ := q.voidEvidence.Get(j.Fingerprint)
 		void = append(slices.Clip(void), j.Upstreams...)
 		slices.Sort(void)
-		q.voids = q.voids.Set(j.Fingerprint, slices.Compact(void))
+		q.voidEvidence = q.voidEvidence.Set(j.Fingerprint, slices.Compact(void))
 	}
 
 	return q, true
 }
 
-// isVoid says whether too little of a verdict's evidence still counts.
-func (q Quarantine) isVoid(j Judgement) bool {
-	void, ok := q.voids.Get(j.Fingerprint)
-	left := slices.DeleteFunc(slices.Clone(j.Upstreams), func(u string) bool { return slices.Contains(void, u) })
+// lacksEvidence reports whether so much of a judgement's evidence is void that the rest is not enough
+// for a quarantine.
+func (q Quarantine) lacksEvidence(j Judgement) bool {
+	void, ok := q.voidEvidence.Get(j.Fingerprint)
+	valid := slices.DeleteFunc(slices.Clone(j.Upstreams), func(u string) bool { return slices.Contains(void, u) })
 
-	return ok && len(left) < sure
+	return ok && len(valid) < minCrashes
 }
 
-// withRoomFor drops the oldest judgement of the workspace that has most, if there are too many.
-func (q Quarantine) withRoomFor() Quarantine {
+// withRoomForJudgement drops the oldest judgement of the workspace with the most judgements if there
+// are maxJudgements.
+func (q Quarantine) withRoomForJudgement() Quarantine {
 	if q.judgements.Len() < maxJudgements {
 		return q
 	}
 	count := map[string]int{}
-	most := ""
+	largest := ""
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
 		count[j.Workspace]++
-		if count[j.Workspace] > count[most] {
-			most = j.Workspace
+		if count[j.Workspace] > count[largest] {
+			largest = j.Workspace
 		}
 	}
-	var oldest judged
+	var oldest judgementRecord
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
-		if j.Workspace == most && (oldest.Fingerprint == "" || j.heardAt.Before(oldest.heardAt)) {
+		if j.Workspace == largest && (oldest.Fingerprint == "" || j.reportedAt.Before(oldest.reportedAt)) {
 			oldest = j
 		}
 	}
@@ -234,57 +242,60 @@
 	return q
 }
 
-// Holds says whether a request is set aside, and until when.
-func (q Quarantine) Holds(fingerprint string) (until time.Time, held bool) {
+// QuarantinedUntil returns until when a request is quarantined, and whether it is. The time may have
+// passed if Expire was not called since.
+func (q Quarantine) QuarantinedUntil(fingerprint string) (until time.Time, quarantined bool) {
 	j, ok := q.judgements.Get(fingerprint)
 	if !ok || j.Verdict != VerdictQuarantined {
 		return time.Time{}, false
 	}
 
-	return j.heardAt.Add(Life), true
+	return j.reportedAt.Add(TTL), true
 }
 
-// Suspected lists the upstreams whose ends speak against a request by now.
-func (q Quarantine) Suspected(fingerprint string) []string {
-	at, _ := q.crashesOf.Get(fingerprint)
-	void, _ := q.voids.Get(fingerprint)
+// EvidenceAgainst returns the upstreams whose crashes count against a request now.
+func (q Quarantine) EvidenceAgainst(fingerprint string) []string {
+	upstreams, _ := q.upstreamsBySuspect.Get(fingerprint)
+	void, _ := q.voidEvidence.Get(fingerprint)
 
-	return slices.DeleteFunc(slices.Clone(at), func(u string) bool { return slices.Contains(void, u) || q.explained(u, fingerprint) })
+	return slices.DeleteFunc(slices.Clone(upstreams), func(u string) bool { return slices.Contains(void, u) || q.isAttributedToOther(u, fingerprint) })
 }
 
-// explained says whether a crash is put down to another request that is set aside.
-func (q Quarantine) explained(upstream, fingerprint string) bool {
+// isAttributedToOther reports whether a crash is attributed to another request, which is quarantined.
+func (q Quarantine) isAttributedToOther(upstream, fingerprint string) bool {
 	c, _ := q.crashes.Get(upstream)
 
 	return slices.ContainsFunc(c.Suspects, func(s Suspect) bool {
-		_, held := q.Holds(s.Fingerprint)
+		_, quarantined := q.QuarantinedUntil(s.Fingerprint)
 
-		return held && s.Fingerprint != fingerprint
+		return quarantined && s.Fingerprint != fingerprint
 	})
 }
 
-// Known returns a crash as it is known; its incarnation is empty if it is not.
-func (q Quarantine) Known(upstream string) Crash {
+// KnownCrash returns an upstream's crash with all suspects known so far; its Upstream is empty if no
+// crash is known.
+func (q Quarantine) KnownCrash(upstream string) Crash {
 	c, _ := q.crashes.Get(upstream)
 
 	return c.Crash
 }
 
-// Held lists the requests that are set aside at a time, by fingerprint.
-func (q Quarantine) Held(now time.Time) []Judgement {
-	var held []Judgement
+// Quarantined returns the judgements on the requests that are quarantined at a time, sorted by
+// fingerprint.
+func (q Quarantine) Quarantined(now time.Time) []Judgement {
+	var quarantined []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
 		_, j, _ := i.Next()
-		if until, ok := q.Holds(j.Fingerprint); ok && now.Before(until) {
-			held = append(held, j.Judgement)
+		if until, ok := q.QuarantinedUntil(j.Fingerprint); ok && now.Before(until) {
+			quarantined = append(quarantined, j.Judgement)
 		}
 	}
-	slices.SortFunc(held, func(a, b Judgement) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
+	slices.SortFunc(quarantined, func(a, b Judgement) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 
-	return held
+	return quarantined
 }
 
-// Judgements lists what is held of requests, in no order.
+// Judgements returns all judgements, in no particular order.
 func (q Quarantine) Judgements() []Judgement {
 	var all []Judgement
 	for i := q.judgements.Iterator(); !i.Done(); {
@@ -295,20 +306,20 @@
 	return all
 }
 
-// Len counts the crashes that are known.
-func (q Quarantine) Len() int {
+// CrashCount returns the number of known crashes.
+func (q Quarantine) CrashCount() int {
 	return q.crashes.Len()
 }
 
-// Expire forgets what is older than Life.
+// Expire returns the quarantine without the crashes and judgements that are at least TTL old.
 func (q Quarantine) Expire(now time.Time) Quarantine {
 	for i := q.crashes.Iterator(); !i.Done(); {
-		if _, c, _ := i.Next(); now.Sub(c.heardAt) >= Life {
+		if _, c, _ := i.Next(); now.Sub(c.reportedAt) >= TTL {
 			q = q.withoutCrash(c)
 		}
 	}
 	for i := q.judgements.Iterator(); !i.Done(); {
-		if _, j, _ := i.Next(); now.Sub(j.heardAt) >= Life {
+		if _, j, _ := i.Next(); now.Sub(j.reportedAt) >= TTL {
 			q.judgements = q.judgements.Delete(j.Fingerprint)
 		}
 	}
--- a/internal/chutequota/window_test.go
+++ b/internal/chutequota/window_test.go
@@ -12,30 +12,30 @@
 	const span = 1200 * time.Millisecond
 	start := time.Unix(1000, 0)
 
-	t.Run("no span holds more than the quota, whenever calls are wanted", rapid.MakeCheck(func(t *rapid.T) {
+	t.Run("no span has more units than the quota, whenever calls arrive", rapid.MakeCheck(func(t *rapid.T) {
 		quota := rapid.IntRange(1, 4).Draw(t, "quota")
 		var w Window
-		var sent []time.Time
+		var spentAt []time.Time
 		now := start
-		for range rapid.IntRange(1, 200).Draw(t, "wanted") {
+		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "pause")) * time.Millisecond)
-			if w.Next(quota, span, now).After(now) {
+			if w.NextAt(quota, span, now).After(now) {
 				continue
 			}
-			w = w.With(span, now)
-			sent = append(sent, now)
+			w = w.WithSpent(span, now)
+			spentAt = append(spentAt, now)
 		}
-		for i := quota; i < len(sent); i++ {
-			if sent[i].Sub(sent[i-quota]) < span {
-				t.Fatalf("more than %d units in the span up to %v", quota, sent[i])
+		for i := quota; i < len(spentAt); i++ {
+			if spentAt[i].Sub(spentAt[i-quota]) < span {
+				t.Fatalf("more than %d units in the span up to %v", quota, spentAt[i])
 			}
 		}
 	}))
 
-	t.Run("the time of the next call is told", func(t *testing.T) {
+	t.Run("returns the time of the next unit", func(t *testing.T) {
 		c := qt.New(t)
-		w := Window{}.With(span, start)
-		c.Assert(w.Next(2, span, start), qt.Equals, start)
-		c.Assert(w.With(span, start.Add(time.Millisecond)).Next(2, span, start), qt.Equals, start.Add(span))
+		w := Window{}.WithSpent(span, start)
+		c.Assert(w.NextAt(2, span, start), qt.Equals, start)
+		c.Assert(w.WithSpent(span, start.Add(time.Millisecond)).NextAt(2, span, start), qt.Equals, start.Add(span))
 	})
 }
