--- a/internal/chutegate/follow.go
+++ b/internal/chutegate/follow.go
@@ -55,7 +55,7 @@
 			onChange()
 		}
 	}
-	keepFollowing := func(status chuteshare.Word) bool {
+	keepFollowing := func(status chuteshare.TableStatus) bool {
 		now := n.Now()
 		if status.Current {
 			local.recordStoreResult(true, now)
--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -99,7 +99,7 @@
 	state               chutecore.State
 	requests            map[uint64]*request
 	partsRequestCancels map[uint64]context.CancelFunc
-	jobUpdates          map[uint64]chan<- chuteshare.Update
+	jobUpdates          map[uint64]chan<- chuteshare.JobUpdate
 }
 
 // message is one event, with a function that the event loop runs before it handles the event.
@@ -125,7 +125,7 @@
 		messages: make(chan message, maxQueuedMessages), queries: make(chan func(chutecore.State)),
 		runContext: runContext, cancelRun: cancelRun,
 		requests: map[uint64]*request{}, partsRequestCancels: map[uint64]context.CancelFunc{},
-		jobUpdates: map[uint64]chan<- chuteshare.Update{}, localTables: map[string]*localTable{}, nodesLoaded: make(chan struct{}),
+		jobUpdates: map[uint64]chan<- chuteshare.JobUpdate{}, localTables: map[string]*localTable{}, nodesLoaded: make(chan struct{}),
 		requiredLoaded: make(chan struct{}), quarantineLoaded: make(chan struct{}),
 		storeCalls:  newStoreCalls(),
 		gossipQueue: newReportQueue(), storeQueue: newReportQueue(),
@@ -148,8 +148,8 @@
 		n.localTables[table] = newLocalTable(table, stale)
 	}
 	n.localTables[settings.Tables.Upstreams].valueWithoutHeartbeat = decode.UpstreamWithoutHeartbeat
-	n.localTables[settings.Tables.Peers].keepaliveInterval = chuteshare.SlowFollowEvery
-	n.localTables[settings.Tables.Quarantine].keepaliveInterval = chuteshare.SlowFollowEvery
+	n.localTables[settings.Tables.Peers].keepaliveInterval = chuteshare.SlowFollowKeepaliveInterval
+	n.localTables[settings.Tables.Quarantine].keepaliveInterval = chuteshare.SlowFollowKeepaliveInterval
 
 	return n
 }
--- a/internal/chutegate/localtable.go
+++ b/internal/chutegate/localtable.go
@@ -54,7 +54,7 @@
 }
 
 func newLocalTable(name string, staleAfter time.Duration) *localTable {
-	return &localTable{name: name, keepaliveInterval: chuteshare.FollowEvery, staleAfter: staleAfter, changed: make(chan struct{})}
+	return &localTable{name: name, keepaliveInterval: chuteshare.FollowKeepaliveInterval, staleAfter: staleAfter, changed: make(chan struct{})}
 }
 
 // snapshot returns the present state of the table.
@@ -214,7 +214,7 @@
 
 // recordSourceStatus records the status that the source reported, and reports whether the source
 // has just lost the store.
-func (local *localTable) recordSourceStatus(status chuteshare.Word, now time.Time) bool {
+func (local *localTable) recordSourceStatus(status chuteshare.TableStatus, now time.Time) bool {
 	if asOf, known := local.recordPeerStatus(status, now); known {
 		local.mu.Lock()
 		if asOf.After(local.sourceConfirmedAt) {
@@ -228,9 +228,9 @@
 
 // recordPeerStatus records the status reported by any node whose table this node has received, and
 // returns the time as of which the table was up to date there. It returns false if it never was.
-func (local *localTable) recordPeerStatus(status chuteshare.Word, now time.Time) (time.Time, bool) {
+func (local *localTable) recordPeerStatus(status chuteshare.TableStatus, now time.Time) (time.Time, bool) {
 	asOf := now.Add(-status.Age)
-	if !status.Known() {
+	if !status.HasBeenCurrent() {
 		return time.Time{}, false
 	}
 	local.confirmAt(asOf)
@@ -301,11 +301,11 @@
 }
 
 // stateForFollowers returns what followers are sent.
-func (local *localTable) stateForFollowers(now time.Time) chuteshare.Followed {
+func (local *localTable) stateForFollowers(now time.Time) chuteshare.TableState {
 	local.mu.Lock()
 	defer local.mu.Unlock()
 
-	return chuteshare.Followed{
+	return chuteshare.TableState{
 		Table: local.table, Current: local.synced && local.current, Age: local.ageLocked(now), Changed: local.changed,
 	}
 }
--- a/internal/chutegate/perform.go
+++ b/internal/chutegate/perform.go
@@ -50,10 +50,10 @@
 	case chuterelay.CancelJob:
 		n.cancelPartsRequest(e.JobRequestID)
 	case chuterelay.ReturnResults:
-		n.sendJobUpdate(e.Token, chuteshare.Update{Results: e.Results, Wait: e.Wait, Beyond: e.OverShare, Loads: e.Loads})
+		n.sendJobUpdate(e.Token, chuteshare.JobUpdate{Results: e.Results, Wait: e.Wait, OverShare: e.OverShare, Loads: e.Loads})
 	case chuterelay.RejectJob:
-		n.sendJobUpdate(e.Token, chuteshare.Update{
-			Failure: e.Reason, Leaving: e.Leaving, Wait: e.Wait, Beyond: e.OverShare, Loads: e.Loads,
+		n.sendJobUpdate(e.Token, chuteshare.JobUpdate{
+			Failure: e.Reason, Leaving: e.Leaving, Wait: e.Wait, OverShare: e.OverShare, Loads: e.Loads,
 		})
 	case chuterelay.RunCall:
 		n.spawn(func(ctx context.Context) { n.runPartsCall(ctx, e) })
@@ -148,15 +148,15 @@
 	n.partsRequestCancels[e.JobRequestID] = cancel
 	n.spawn(func(context.Context) {
 		defer cancel()
-		end, ended := n.peers.Make(ctx, e.Peer.Address, chuteshare.Ask{Job: e.Job, Loads: e.Loads}, n.Now(), func(u chuteshare.Update) {
-			n.sendEvent(chuterelay.JobDone{JobRequestID: e.JobRequestID, Results: u.Results, Wait: u.Wait, OverShare: u.Beyond, Loads: u.Loads})
+		end, ended := n.peers.Make(ctx, e.Peer.Address, chuteshare.JobRequest{Job: e.Job, Loads: e.Loads}, n.Now(), func(u chuteshare.JobUpdate) {
+			n.sendEvent(chuterelay.JobDone{JobRequestID: e.JobRequestID, Results: u.Results, Wait: u.Wait, OverShare: u.OverShare, Loads: u.Loads})
 		})
 		if !ended {
 			return
 		}
 		n.sendEvent(chuterelay.JobFailed{
 			JobRequestID: e.JobRequestID, PeerLost: end.Lost, PeerSilent: end.Silent, Reason: end.Reason, Wait: end.Wait,
-			OverShare: end.Beyond, Loads: end.Loads,
+			OverShare: end.OverShare, Loads: end.Loads,
 		})
 	})
 }
@@ -170,7 +170,7 @@
 
 // sendJobUpdate tells a peer the outcome of its job. It never blocks: a job has one update, and the
 // channel has room for it.
-func (n *Node) sendJobUpdate(token uint64, u chuteshare.Update) {
+func (n *Node) sendJobUpdate(token uint64, u chuteshare.JobUpdate) {
 	if updates, ok := n.jobUpdates[token]; ok {
 		updates <- u
 		delete(n.jobUpdates, token)
@@ -241,7 +241,7 @@
 }
 
 // acceptJob hands a peer's job to this node's own collector.
-func (n *Node) acceptJob(token uint64, asked chuteshare.Ask, updates chan<- chuteshare.Update) {
+func (n *Node) acceptJob(token uint64, asked chuteshare.JobRequest, updates chan<- chuteshare.JobUpdate) {
 	n.sendEventWith(chuterelay.JobReceived{Token: token, Job: asked.Job, Loads: asked.Loads}, func() { n.jobUpdates[token] = updates })
 }
 
--- a/internal/chutegate/source.go
+++ b/internal/chutegate/source.go
@@ -104,7 +104,7 @@
 		Now:      n.Now,
 		NewToken: func() uint64 { return n.lastHandle.Add(1) },
 		OnJob:    n.acceptJob,
-		OnDrop: func(token uint64) {
+		OnLeaseEnd: func(token uint64) {
 			n.sendEventWith(chuterelay.JobCancelled{Token: token}, func() { delete(n.jobUpdates, token) })
 		},
 		OnTable: n.tableForFollower,
@@ -114,10 +114,10 @@
 
 // tableForFollower returns a table as this node knows it, for another node. An unknown table is
 // returned as one that was never read.
-func (n *Node) tableForFollower(name string) chuteshare.Followed {
+func (n *Node) tableForFollower(name string) chuteshare.TableState {
 	local, ok := n.localTables[name]
 	if !ok {
-		return chuteshare.Followed{}
+		return chuteshare.TableState{}
 	}
 
 	followed := local.stateForFollowers(n.Now())
--- a/internal/chuteshare/client.go
+++ b/internal/chuteshare/client.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// firstSign is how long a collector may take to its first sign of life, and
+	// firstKeepaliveTimeout is how long a collector may take to its first sign of life, and
 	// nextSign to each further one: three of its signs, for a slowed machine.
-	firstSign = 500 * time.Millisecond
-	nextSign  = 3 * aliveEvery
+	firstKeepaliveTimeout = 500 * time.Millisecond
+	keepaliveTimeout      = 3 * jobKeepaliveInterval
 	// connectTimeout bounds one attempt to connect, and the backoffs the pause after one that failed.
 	connectTimeout = 400 * time.Millisecond
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = time.Second
-	// maxReply bounds a reply; a configuration grows by hundreds of routes.
-	maxReply = 16 << 20
+	minBackoff     = 100 * time.Millisecond
+	maxBackoff     = time.Second
+	// maxReplyBytes bounds a reply; a configuration grows by hundreds of routes.
+	maxReplyBytes = 16 << 20
 )
 
 // Client asks other nodes; it keeps one connection an address.
@@ -36,13 +36,13 @@
 	// Dial connects to an address, by TCP if it is nil; it is set before the first call.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
-	mu     sync.Mutex
-	byAddr map[string]*grpc.ClientConn
+	mu            sync.Mutex
+	connByAddress map[string]*grpc.ClientConn
 }
 
 // NewClient returns a client without connections.
 func NewClient() *Client {
-	return &Client{byAddr: map[string]*grpc.ClientConn{}}
+	return &Client{connByAddress: map[string]*grpc.ClientConn{}}
 }
 
 // Close ends all connections.
@@ -50,25 +50,25 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	for address, conn := range c.byAddr {
+	for address, conn := range c.connByAddress {
 		_ = conn.Close()
-		delete(c.byAddr, address)
+		delete(c.connByAddress, address)
 	}
 }
 
-func (c *Client) connection(address string) (*grpc.ClientConn, error) {
+func (c *Client) connTo(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if conn, ok := c.byAddr[address]; ok {
+	if conn, ok := c.connByAddress[address]; ok {
 		return conn, nil
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReply)),
+		grpc.WithReadBufferSize(connBufferBytes), grpc.WithWriteBufferSize(connBufferBytes),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxReplyBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: firstBackoff, Multiplier: 2, MaxDelay: longestBackoff},
+			Backoff:           backoff.Config{BaseDelay: minBackoff, Multiplier: 2, MaxDelay: maxBackoff},
 			MinConnectTimeout: connectTimeout,
 		}),
 		grpc.WithDisableServiceConfig(),
@@ -80,19 +80,19 @@
 	if err != nil {
 		return nil, oops.In("share").With("step", "connect", "peer", address).Wrap(err)
 	}
-	c.byAddr[address] = conn
+	c.connByAddress[address] = conn
 
 	return conn, nil
 }
 
-// forget closes the connection to an address after it went silent: calls on a
+// closeConn closes the connection to an address after it went silent: calls on a
 // connection that something between the ends has lost track of never end.
-func (c *Client) forget(address string, conn *grpc.ClientConn) {
+func (c *Client) closeConn(address string, conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 
-	if c.byAddr[address] == conn {
-		delete(c.byAddr, address)
+	if c.connByAddress[address] == conn {
+		delete(c.connByAddress, address)
 	}
 	_ = conn.Close()
 }
@@ -106,38 +106,38 @@
 	Reason string
 	// Wait is how long a job of the same kind would wait there now.
 	Wait time.Duration
-	// Beyond says that Wait holds for the job's workspace alone, which is beyond its share.
-	Beyond bool
+	// OverShare says that Wait holds for the job's workspace alone, which is beyond its share.
+	OverShare bool
 	// Loads are on upstreams that are crowded.
 	Loads []chutefleet.LoadReport
 }
 
-func waitOf(u *chutesharepb.MakeUpdate) time.Duration {
-	return time.Duration(u.GetWaitMs()) * time.Millisecond
+func decodeWait(update *chutesharepb.MakeUpdate) time.Duration {
+	return time.Duration(update.GetWaitMs()) * time.Millisecond
 }
 
 // Make runs a job at a peer and holds the lease on its results until ctx ends.
 // It calls made once the results are there, and returns how the job ended if
 // that was not by ctx.
 func (c *Client) Make(
-	ctx context.Context, address string, asked Ask, now time.Time, made func(Update),
+	ctx context.Context, address string, request JobRequest, now time.Time, onResults func(JobUpdate),
 ) (JobEnd, bool) {
-	conn, err := c.connection(address)
+	conn, err := c.connTo(address)
 	if err != nil {
 		return JobEnd{Lost: true, Reason: err.Error()}, true
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 
-	watch := time.AfterFunc(firstSign, func() { cancel(errSilent) })
-	defer watch.Stop()
+	silenceTimer := time.AfterFunc(firstKeepaliveTimeout, func() { cancel(errPeerSilent) })
+	defer silenceTimer.Stop()
 
-	end, err := follow(ctx, conn, encodeAsk(asked, now), watch, made)
+	end, err := readJobUpdates(ctx, conn, encodeJobRequest(request, now), silenceTimer, onResults)
 	switch {
-	case errors.Is(context.Cause(ctx), errSilent):
-		c.forget(address, conn)
+	case errors.Is(context.Cause(ctx), errPeerSilent):
+		c.closeConn(address, conn)
 
-		return JobEnd{Lost: true, Silent: true, Reason: errSilent.Error()}, true
+		return JobEnd{Lost: true, Silent: true, Reason: errPeerSilent.Error()}, true
 	case ctx.Err() != nil:
 		return JobEnd{}, false
 	case err != nil:
@@ -147,15 +147,15 @@
 	return end, true
 }
 
-// errSilent ends a call whose peer shows no sign of life.
-var errSilent = errors.New("the peer shows no sign of life")
+// errPeerSilent ends a call whose peer shows no sign of life.
+var errPeerSilent = errors.New("the peer shows no sign of life")
 
-// follow reads a job's updates until it fails or the stream ends.
-func follow(
-	ctx context.Context, conn *grpc.ClientConn, m *chutesharepb.MakeRequest, watch *time.Timer,
-	made func(Update),
+// readJobUpdates reads a job's updates until it fails or the stream ends.
+func readJobUpdates(
+	ctx context.Context, conn *grpc.ClientConn, request *chutesharepb.MakeRequest, silenceTimer *time.Timer,
+	onResults func(JobUpdate),
 ) (JobEnd, error) {
-	stream, err := chutesharepb.NewShareClient(conn).Make(ctx, m)
+	stream, err := chutesharepb.NewShareClient(conn).Make(ctx, request)
 	if err != nil {
 		return JobEnd{}, err
 	}
@@ -166,16 +166,16 @@
 		}
 		switch update.GetKind() {
 		case chutesharepb.MakeUpdate_KIND_WAITING:
-			watch.Reset(nextSign)
+			silenceTimer.Reset(keepaliveTimeout)
 		case chutesharepb.MakeUpdate_KIND_MADE:
-			watch.Stop()
-			made(Update{
-				Results: decodeResults(update.GetResults()), Wait: waitOf(update), Beyond: update.GetBeyond(),
+			silenceTimer.Stop()
+			onResults(JobUpdate{
+				Results: decodeResults(update.GetResults()), Wait: decodeWait(update), OverShare: update.GetBeyond(),
 				Loads: decodeLoads(update.GetLoads()),
 			})
 		case chutesharepb.MakeUpdate_KIND_FAILED:
 			return JobEnd{
-				Lost: update.GetLeaving(), Reason: update.GetReason(), Wait: waitOf(update), Beyond: update.GetBeyond(),
+				Lost: update.GetLeaving(), Reason: update.GetReason(), Wait: decodeWait(update), OverShare: update.GetBeyond(),
 				Loads: decodeLoads(update.GetLoads()),
 			}, nil
 		}
--- a/internal/chuteshare/pack.go
+++ b/internal/chuteshare/pack.go
@@ -13,73 +13,73 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// packFrom is the number of rows from which on they are packed. A table of thousands of
+// minPackedRows is the number of rows from which on they are packed. A table of thousands of
 // upstreams shrinks to a third, which counts when a whole zone starts at once and asks
 // nodes with slow links; a few rows are not worth the processor time.
-const packFrom = 64
+const minPackedRows = 64
 
-// packs keeps the packed form of each table's last state: many followers start at once,
+// tableEncoder keeps the packed form of each table's last state: many followers start at once,
 // and each would otherwise have the same rows packed for itself.
-type packs struct {
-	mu   sync.Mutex
-	last map[string]pack
+type tableEncoder struct {
+	mu         sync.Mutex
+	lastPacked map[string]packedTable
 }
 
-type pack struct {
-	rows  []chutefeed.Row
-	bytes []byte
+type packedTable struct {
+	rows   []chutefeed.Row
+	packed []byte
 }
 
 // encode writes a change, packed if it is a long table.
-func (p *packs) encode(table string, c chutefeed.Change) (*chutesharepb.Change, error) {
-	change := &chutesharepb.Change{Version: c.Version, Whole: c.Whole, Groups: c.Groups, Gone: c.Gone}
-	if !c.Whole || len(c.Rows) < packFrom {
-		change.Rows = encodeRows(c.Rows)
+func (e *tableEncoder) encode(table string, change chutefeed.Change) (*chutesharepb.Change, error) {
+	message := &chutesharepb.Change{Version: change.Version, Whole: change.Whole, Groups: change.Groups, Gone: change.Gone}
+	if !change.Whole || len(change.Rows) < minPackedRows {
+		message.Rows = encodeRows(change.Rows)
 
-		return change, nil
+		return message, nil
 	}
-	packed, err := p.packed(table, c.Rows)
-	change.Packed = packed
+	packed, err := e.packRows(table, change.Rows)
+	message.Packed = packed
 
-	return change, err
+	return message, err
 }
 
-// packed returns rows packed, from the last call if they are the same.
-func (p *packs) packed(table string, rows []chutefeed.Row) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// packRows returns rows packed, from the last call if they are the same.
+func (e *tableEncoder) packRows(table string, rows []chutefeed.Row) ([]byte, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 
-	if last := p.last[table]; len(last.rows) == len(rows) && &last.rows[0] == &rows[0] {
-		return last.bytes, nil
+	if last := e.lastPacked[table]; len(last.rows) == len(rows) && &last.rows[0] == &rows[0] {
+		return last.packed, nil
 	}
 	plain, err := proto.Marshal(&chutesharepb.RowList{Rows: encodeRows(rows)})
 	if err != nil {
 		return nil, oops.In("share").With("step", "encode rows").Wrap(err)
 	}
-	var packed bytes.Buffer
-	w, err := flate.NewWriter(&packed, flate.BestSpeed)
+	var buffer bytes.Buffer
+	writer, err := flate.NewWriter(&buffer, flate.BestSpeed)
 	if err != nil {
 		return nil, oops.In("share").With("step", "pack rows").Wrap(err)
 	}
-	_, err = w.Write(plain)
+	_, err = writer.Write(plain)
 	if err == nil {
-		err = w.Close()
+		err = writer.Close()
 	}
 	if err != nil {
 		return nil, oops.In("share").With("step", "pack rows").Wrap(err)
 	}
-	if p.last == nil {
-		p.last = map[string]pack{}
+	if e.lastPacked == nil {
+		e.lastPacked = map[string]packedTable{}
 	}
-	p.last[table] = pack{rows: rows, bytes: packed.Bytes()}
+	e.lastPacked[table] = packedTable{rows: rows, packed: buffer.Bytes()}
 
-	return packed.Bytes(), nil
+	return buffer.Bytes(), nil
 }
 
-// unpack reads what packed has written.
-func unpack(packed []byte) ([]*chutesharepb.Row, error) {
-	r := flate.NewReader(bytes.NewReader(packed))
-	plain, err := io.ReadAll(io.LimitReader(r, maxReply))
+// unpackRows reads what packed has written.
+func unpackRows(packed []byte) ([]*chutesharepb.Row, error) {
+	reader := flate.NewReader(bytes.NewReader(packed))
+	plain, err := io.ReadAll(io.LimitReader(reader, maxReplyBytes))
 	if err != nil {
 		return nil, oops.In("share").With("step", "unpack rows").Wrap(err)
 	}
@@ -96,36 +96,36 @@
 }
 
 func encodeRows(rows []chutefeed.Row) []*chutesharepb.Row {
-	out := make([]*chutesharepb.Row, 0, len(rows))
+	messages := make([]*chutesharepb.Row, 0, len(rows))
 	for _, row := range rows {
-		out = append(out, &chutesharepb.Row{Key: row.Key, Value: row.Value, Version: row.Version})
+		messages = append(messages, &chutesharepb.Row{Key: row.Key, Value: row.Value, Version: row.Version})
 	}
 
-	return out
+	return messages
 }
 
 // decodeChange reads a change that was made for a table with a number of digests.
-func decodeChange(m *chutesharepb.Change, digests int) (chutefeed.Change, error) {
-	rows := m.GetRows()
-	if len(m.GetPacked()) > 0 {
+func decodeChange(message *chutesharepb.Change, groupCount int) (chutefeed.Change, error) {
+	rows := message.GetRows()
+	if len(message.GetPacked()) > 0 {
 		var err error
-		if rows, err = unpack(m.GetPacked()); err != nil {
+		if rows, err = unpackRows(message.GetPacked()); err != nil {
 			return chutefeed.Change{}, err
 		}
 	}
-	c := chutefeed.Change{
-		Version: m.GetVersion(), Whole: m.GetWhole(), Groups: m.GetGroups(), GroupCount: digests, Gone: m.GetGone(),
+	change := chutefeed.Change{
+		Version: message.GetVersion(), Whole: message.GetWhole(), Groups: message.GetGroups(), GroupCount: groupCount, Gone: message.GetGone(),
 		Rows: decodeRows(rows),
 	}
 
-	return c, nil
+	return change, nil
 }
 
-func decodeRows(rows []*chutesharepb.Row) []chutefeed.Row {
-	out := make([]chutefeed.Row, 0, len(rows))
-	for _, row := range rows {
-		out = append(out, chutefeed.Row{Key: row.GetKey(), Value: row.GetValue(), Version: row.GetVersion()})
+func decodeRows(messages []*chutesharepb.Row) []chutefeed.Row {
+	rows := make([]chutefeed.Row, 0, len(messages))
+	for _, message := range messages {
+		rows = append(rows, chutefeed.Row{Key: message.GetKey(), Value: message.GetValue(), Version: message.GetVersion()})
 	}
 
-	return out
+	return rows
 }
--- a/internal/chuteshare/server.go
+++ b/internal/chuteshare/server.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// aliveEvery is how often a collector tells each waiting caller that it lives.
-	aliveEvery = 250 * time.Millisecond
-	// bufferBytes is small because messages are.
-	bufferBytes = 8 << 10
-	// vanishedAfter is how long a connection whose other end vanished is kept.
-	vanishedAfter = 2 * time.Second
+	// jobKeepaliveInterval is how often a collector tells each waiting caller that it lives.
+	jobKeepaliveInterval = 250 * time.Millisecond
+	// connBufferBytes is small because messages are.
+	connBufferBytes = 8 << 10
+	// connKeepalive is how long a connection whose other end vanished is kept.
+	connKeepalive = 2 * time.Second
 	// maxParts bounds the parts of one job; requests have a few dozen.
 	maxParts = 10_000
 )
 
-// Update is what becomes of a job.
-type Update struct {
+// JobUpdate is what becomes of a job.
+type JobUpdate struct {
 	Results []chutebatch.Result
 	// Failure is empty if there are results.
 	Failure string
@@ -35,14 +35,14 @@
 	Leaving bool
 	// Wait is how long a job of the same kind would wait here now.
 	Wait time.Duration
-	// Beyond says that Wait holds for the job's workspace alone, which is beyond its share.
-	Beyond bool
+	// OverShare says that Wait holds for the job's workspace alone, which is beyond its share.
+	OverShare bool
 	// Loads are on upstreams that are crowded.
 	Loads []chutefleet.LoadReport
 }
 
-// Ask is a job with what the node that asks has heard of upstreams' loads.
-type Ask struct {
+// JobRequest is a job with what the node that asks has heard of upstreams' loads.
+type JobRequest struct {
 	Job   chutebatch.Job
 	Loads []chutefleet.LoadReport
 }
@@ -50,11 +50,11 @@
 // Handlers answers other nodes; all fields must be set.
 type Handlers struct {
 	// OnJob takes a job in; the update comes on the channel, which has room for it.
-	OnJob func(token uint64, asked Ask, updates chan<- Update)
-	// OnDrop ends a job's lease.
-	OnDrop func(token uint64)
+	OnJob func(token uint64, request JobRequest, updates chan<- JobUpdate)
+	// OnLeaseEnd ends a job's lease.
+	OnLeaseEnd func(token uint64)
 	// OnTable returns a table of the store as this node knows it.
-	OnTable func(table string) Followed
+	OnTable func(table string) TableState
 	// OnTell takes in rows of one of the system's own tables; hops is how often they are
 	// still to be passed on.
 	OnTell func(table string, rows []chutefeed.Row, hops int)
@@ -64,8 +64,8 @@
 	NewToken func() uint64
 }
 
-// Followed is a table as a node knows it.
-type Followed struct {
+// TableState is a table as a node knows it.
+type TableState struct {
 	Table chutefeed.Table
 	// Current says that the node, and the one that it follows, reach the store.
 	Current bool
@@ -87,12 +87,12 @@
 // NewServer returns a server that is not listening yet.
 func NewServer(h Handlers) *Server {
 	s := &Server{grpc: grpc.NewServer(
-		grpc.ReadBufferSize(bufferBytes),
-		grpc.WriteBufferSize(bufferBytes),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: vanishedAfter, Timeout: vanishedAfter}),
+		grpc.ReadBufferSize(connBufferBytes),
+		grpc.WriteBufferSize(connBufferBytes),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: connKeepalive, Timeout: connKeepalive}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second, PermitWithoutStream: true}),
 	)}
-	chutesharepb.RegisterShareServer(s.grpc, service{handlers: h, packs: &packs{}})
+	chutesharepb.RegisterShareServer(s.grpc, service{handlers: h, tableEncoder: &tableEncoder{}})
 
 	return s
 }
@@ -110,37 +110,37 @@
 // service answers the calls of the protocol.
 type service struct {
 	chutesharepb.UnimplementedShareServer
-	handlers Handlers
-	packs    *packs
+	handlers     Handlers
+	tableEncoder *tableEncoder
 }
 
 // Make runs one job and keeps its results until the caller goes.
-func (s service) Make(m *chutesharepb.MakeRequest, stream grpc.ServerStreamingServer[chutesharepb.MakeUpdate]) error {
-	if n := m.GetParts(); n <= 0 || n > maxParts || m.GetPool() == "" || m.GetRequest() == "" {
+func (s service) Make(request *chutesharepb.MakeRequest, stream grpc.ServerStreamingServer[chutesharepb.MakeUpdate]) error {
+	if parts := request.GetParts(); parts <= 0 || parts > maxParts || request.GetPool() == "" || request.GetRequest() == "" {
 		return status.Error(codes.InvalidArgument, "Parts, Pool or Request of the job is out of range")
 	}
 	token := s.handlers.NewToken()
-	updates := make(chan Update, 1)
-	s.handlers.OnJob(token, Ask{Job: decodeJob(m, s.handlers.Now()), Loads: decodeLoads(m.GetLoads())}, updates)
-	defer s.handlers.OnDrop(token)
+	updates := make(chan JobUpdate, 1)
+	s.handlers.OnJob(token, JobRequest{Job: decodeJob(request, s.handlers.Now()), Loads: decodeLoads(request.GetLoads())}, updates)
+	defer s.handlers.OnLeaseEnd(token)
 
-	alive := time.NewTicker(aliveEvery)
-	defer alive.Stop()
+	keepaliveTicker := time.NewTicker(jobKeepaliveInterval)
+	defer keepaliveTicker.Stop()
 
 	if err := stream.Send(&chutesharepb.MakeUpdate{}); err != nil {
 		return err
 	}
 	for {
 		select {
-		case u := <-updates:
-			if err := stream.Send(encodeUpdate(u)); err != nil || u.Failure != "" {
+		case update := <-updates:
+			if err := stream.Send(encodeUpdate(update)); err != nil || update.Failure != "" {
 				return err
 			}
 			// The results are there: only the end of the lease is left to wait for.
 			<-stream.Context().Done()
 
 			return nil
-		case <-alive.C:
+		case <-keepaliveTicker.C:
 			if err := stream.Send(&chutesharepb.MakeUpdate{}); err != nil {
 				return err
 			}
@@ -150,16 +150,16 @@
 	}
 }
 
-func encodeUpdate(u Update) *chutesharepb.MakeUpdate {
-	if u.Failure != "" {
+func encodeUpdate(update JobUpdate) *chutesharepb.MakeUpdate {
+	if update.Failure != "" {
 		return &chutesharepb.MakeUpdate{
-			Kind: chutesharepb.MakeUpdate_KIND_FAILED, Reason: u.Failure, Leaving: u.Leaving,
-			WaitMs: u.Wait.Milliseconds(), Beyond: u.Beyond, Loads: encodeLoads(u.Loads),
+			Kind: chutesharepb.MakeUpdate_KIND_FAILED, Reason: update.Failure, Leaving: update.Leaving,
+			WaitMs: update.Wait.Milliseconds(), Beyond: update.OverShare, Loads: encodeLoads(update.Loads),
 		}
 	}
 
 	return &chutesharepb.MakeUpdate{
-		Kind: chutesharepb.MakeUpdate_KIND_MADE, Results: encodeResults(u.Results), WaitMs: u.Wait.Milliseconds(),
-		Beyond: u.Beyond, Loads: encodeLoads(u.Loads),
+		Kind: chutesharepb.MakeUpdate_KIND_MADE, Results: encodeResults(update.Results), WaitMs: update.Wait.Milliseconds(),
+		Beyond: update.OverShare, Loads: encodeLoads(update.Loads),
 	}
 }
--- a/internal/chuteshare/share_test.go
+++ b/internal/chuteshare/share_test.go
@@ -14,44 +14,44 @@
 	"azurechute.example/azurechute/internal/chutefleet"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// collector is a server whose answers a test decides.
-type collector struct {
+// testServer is a server whose answers a test decides.
+type testServer struct {
 	address string
-	jobs    chan Ask
-	updates chan chan<- Update
+	jobs    chan JobRequest
+	updates chan chan<- JobUpdate
 	dropped chan uint64
 	tokens  atomic.Uint64
-	table   atomic.Pointer[Followed]
+	table   atomic.Pointer[TableState]
 	changed chan struct{}
 }
 
 // setTable makes the server's table known, and tells followers of the last one.
-func (c *collector) setTable(table chutefeed.Table, current bool) {
+func (c *testServer) setTable(table chutefeed.Table, current bool) {
 	changed := make(chan struct{})
-	last := c.table.Swap(&Followed{Table: table, Current: current, Changed: changed})
+	last := c.table.Swap(&TableState{Table: table, Current: current, Changed: changed})
 	if last != nil {
 		close(c.changed)
 	}
 	c.changed = changed
 }
 
-func serve(t testing.TB) *collector {
+func startServer(t testing.TB) *testServer {
 	t.Helper()
-	c := &collector{
-		jobs: make(chan Ask, 8), updates: make(chan chan<- Update, 8), dropped: make(chan uint64, 8),
+	c := &testServer{
+		jobs: make(chan JobRequest, 8), updates: make(chan chan<- JobUpdate, 8), dropped: make(chan uint64, 8),
 	}
 	c.setTable(chutefeed.Table{}, false)
 	s := NewServer(Handlers{
-		Now:      func() time.Time { return start },
+		Now:      func() time.Time { return startTime },
 		NewToken: func() uint64 { return c.tokens.Add(1) },
-		OnJob: func(_ uint64, asked Ask, updates chan<- Update) {
-			c.jobs <- asked
+		OnJob: func(_ uint64, request JobRequest, updates chan<- JobUpdate) {
+			c.jobs <- request
 			c.updates <- updates
 		},
-		OnDrop:  func(token uint64) { c.dropped <- token },
-		OnTable: func(string) Followed { return *c.table.Load() },
+		OnLeaseEnd: func(token uint64) { c.dropped <- token },
+		OnTable:    func(string) TableState { return *c.table.Load() },
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -76,31 +76,31 @@
 	return c
 }
 
-func job() Ask {
-	return Ask{Loads: []chutefleet.LoadReport{{Upstream: "u", Calls: 9, Age: 30 * time.Millisecond}}, Job: chutebatch.Job{
+func newJobRequest() JobRequest {
+	return JobRequest{Loads: []chutefleet.LoadReport{{Upstream: "u", Calls: 9, Age: 30 * time.Millisecond}}, Job: chutebatch.Job{
 		Request: "r", Pool: "p", Shard: "z", Stage: 2, Parts: 3, Inputs: []string{"a", "b"}, ResultBytes: 9,
-		Priority: 1, TargetAt: start.Add(time.Second), Deadline: start.Add(2 * time.Second), TimeAfterStage: 300 * time.Millisecond, Zone: "z",
+		Priority: 1, TargetAt: startTime.Add(time.Second), Deadline: startTime.Add(2 * time.Second), TimeAfterStage: 300 * time.Millisecond, Zone: "z",
 	}}
 }
 
 func TestMake(t *testing.T) {
 	t.Run("a job arrives as it was sent, its results come back, and its lease lasts until it is ended", func(t *testing.T) {
 		c := qt.New(t)
-		s := serve(t)
+		s := startServer(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		made := make(chan Update, 1)
+		made := make(chan JobUpdate, 1)
 		ended := make(chan bool, 1)
 		client := newClient(t)
 		go func() {
-			_, failed := client.Make(ctx, s.address, job(), start, func(u Update) { made <- u })
+			_, failed := client.Make(ctx, s.address, newJobRequest(), startTime, func(update JobUpdate) { made <- update })
 			ended <- failed
 		}()
-		c.Assert(<-s.jobs, qt.DeepEquals, job())
+		c.Assert(<-s.jobs, qt.DeepEquals, newJobRequest())
 		results := []chutebatch.Result{{Ref: "x", Upstream: "u", Zone: "z"}}
-		<-s.updates <- Update{Results: results, Wait: time.Second}
-		u := <-made
-		c.Assert(u.Results, qt.DeepEquals, results)
-		c.Assert(u.Wait, qt.Equals, time.Second)
+		<-s.updates <- JobUpdate{Results: results, Wait: time.Second}
+		update := <-made
+		c.Assert(update.Results, qt.DeepEquals, results)
+		c.Assert(update.Wait, qt.Equals, time.Second)
 		c.Assert(s.dropped, qt.HasLen, 0)
 		cancel()
 		<-s.dropped
@@ -109,9 +109,9 @@
 
 	t.Run("a refusal is told with its reason", func(t *testing.T) {
 		c := qt.New(t)
-		s := serve(t)
-		go func() { <-s.updates <- Update{Failure: "Late"} }()
-		end, failed := newClient(t).Make(context.Background(), s.address, job(), start, func(Update) {})
+		s := startServer(t)
+		go func() { <-s.updates <- JobUpdate{Failure: "Late"} }()
+		end, failed := newClient(t).Make(context.Background(), s.address, newJobRequest(), startTime, func(JobUpdate) {})
 		c.Assert(failed, qt.IsTrue)
 		c.Assert(end, qt.DeepEquals, JobEnd{Reason: "Late"})
 	})
@@ -122,7 +122,7 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		defer func() { _ = l.Close() }()
-		end, failed := newClient(t).Make(context.Background(), l.Addr().String(), job(), start, func(Update) {})
+		end, failed := newClient(t).Make(context.Background(), l.Addr().String(), newJobRequest(), startTime, func(JobUpdate) {})
 		c.Assert(failed, qt.IsTrue)
 		c.Assert(end.Lost, qt.IsTrue)
 	})
@@ -132,16 +132,16 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		_ = l.Close()
-		end, failed := newClient(t).Make(context.Background(), l.Addr().String(), job(), start, func(Update) {})
+		end, failed := newClient(t).Make(context.Background(), l.Addr().String(), newJobRequest(), startTime, func(JobUpdate) {})
 		c.Assert(failed, qt.IsTrue)
 		c.Assert(end.Lost, qt.IsTrue)
 	})
 
 	t.Run("a job without parts is refused by name", func(t *testing.T) {
 		c := qt.New(t)
-		bad := job()
+		bad := newJobRequest()
 		bad.Job.Parts = 0
-		end, failed := newClient(t).Make(context.Background(), serve(t).address, bad, start, func(Update) {})
+		end, failed := newClient(t).Make(context.Background(), startServer(t).address, bad, startTime, func(JobUpdate) {})
 		c.Assert(failed, qt.IsTrue)
 		c.Assert(end.Reason, qt.Contains, "Parts")
 	})
--- a/internal/chuteshare/size_test.go
+++ b/internal/chuteshare/size_test.go
@@ -28,26 +28,26 @@
 	return chutefeed.NewTable(rows, uint64(n))
 }
 
-// sizes are the bytes of the messages that a follower gets.
-type sizes struct {
-	start, change, moved, sign int
+// messageSizes are the bytes of the messages that a follower gets.
+type messageSizes struct {
+	wholeTable, change, sourceSwitch, keepalive int
 }
 
-func sizesOf(c *qt.C, upstreams int) sizes {
+func measureSizes(c *qt.C, upstreams int) messageSizes {
 	size := func(change chutefeed.Change) int {
-		message, err := (&packs{}).encode("t", change)
+		message, err := (&tableEncoder{}).encode("t", change)
 		c.Assert(err, qt.IsNil)
 
 		return proto.Size(&chutesharepb.FollowTableUpdate{Current: true, Change: message})
 	}
 	table := upstreamTable(upstreams)
-	later := table.With(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
+	newer := table.With(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
 
-	return sizes{
-		start:  size(later.Missing(nil)),
-		change: size(later.Since(table)),
-		moved:  size(later.Missing(table.Digests())) + proto.Size(encodeKnown(table)),
-		sign:   size(later.WithVersion(later.Version() + 1).Since(later)),
+	return messageSizes{
+		wholeTable:   size(newer.Missing(nil)),
+		change:       size(newer.Since(table)),
+		sourceSwitch: size(newer.Missing(table.Digests())) + proto.Size(encodeKnown(table)),
+		keepalive:    size(newer.WithVersion(newer.Version() + 1).Since(newer)),
 	}
 }
 
@@ -55,12 +55,12 @@
 	t.Run("what a change and a sign of life take does not grow with the upstreams", func(t *testing.T) {
 		c := qt.New(t)
 		for _, upstreams := range []int{236, 3_000, 8_000} {
-			got := sizesOf(c, upstreams)
+			got := measureSizes(c, upstreams)
 			note := qt.Commentf("%d upstreams: %+v", upstreams, got)
 			c.Check(got.change <= 256, qt.IsTrue, note)
-			c.Check(got.sign <= 16, qt.IsTrue, note)
-			c.Check(got.moved <= 12_000, qt.IsTrue, note)
-			c.Check(got.start <= 80*upstreams, qt.IsTrue, note)
+			c.Check(got.keepalive <= 16, qt.IsTrue, note)
+			c.Check(got.sourceSwitch <= 12_000, qt.IsTrue, note)
+			c.Check(got.wholeTable <= 80*upstreams, qt.IsTrue, note)
 		}
 	})
 }
@@ -69,14 +69,14 @@
 func BenchmarkSizes(b *testing.B) {
 	for _, upstreams := range []int{236, 1_000, 3_000, 8_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			var got sizes
+			var got messageSizes
 			for b.Loop() {
-				got = sizesOf(qt.New(b), upstreams)
+				got = measureSizes(qt.New(b), upstreams)
 			}
-			b.ReportMetric(float64(got.start), "B/start")
+			b.ReportMetric(float64(got.wholeTable), "B/start")
 			b.ReportMetric(float64(got.change), "B/change")
-			b.ReportMetric(float64(got.moved), "B/moved")
-			b.ReportMetric(float64(got.sign), "B/sign")
+			b.ReportMetric(float64(got.sourceSwitch), "B/moved")
+			b.ReportMetric(float64(got.keepalive), "B/sign")
 		})
 	}
 }
--- a/internal/chuteshare/tables.go
+++ b/internal/chuteshare/tables.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	// FollowEvery is how often a followed node says that it is up to date. What its
+	// FollowKeepaliveInterval is how often a followed node says that it is up to date. What its
 	// followers know is at most three times this old when they find out that it is
 	// gone, which leaves them a second of the 2 s in which they have to know of a change.
-	FollowEvery = 300 * time.Millisecond
-	// SlowFollowEvery is the same for a table whose news also comes by other ways.
-	SlowFollowEvery = time.Second
-	// followSigns is the number of signs of life that a followed node may miss.
-	followSigns = 3
+	FollowKeepaliveInterval = 300 * time.Millisecond
+	// SlowFollowKeepaliveInterval is the same for a table whose news also comes by other ways.
+	SlowFollowKeepaliveInterval = time.Second
+	// maxMissedKeepalives is the number of signs of life that a followed node may miss.
+	maxMissedKeepalives = 3
 	// readTableTimeout bounds a question for a table.
 	readTableTimeout = 500 * time.Millisecond
 )
 
 // FollowTable hands out a table until the caller goes.
-func (s service) FollowTable(m *chutesharepb.FollowTableRequest, stream grpc.ServerStreamingServer[chutesharepb.FollowTableUpdate]) error {
-	every := time.Duration(m.GetSignMs()) * time.Millisecond
-	if every <= 0 {
-		every = FollowEvery
+func (s service) FollowTable(request *chutesharepb.FollowTableRequest, stream grpc.ServerStreamingServer[chutesharepb.FollowTableUpdate]) error {
+	keepaliveInterval := time.Duration(request.GetSignMs()) * time.Millisecond
+	if keepaliveInterval <= 0 {
+		keepaliveInterval = FollowKeepaliveInterval
 	}
-	every = max(FollowEvery, every)
-	alive := time.NewTicker(every)
-	defer alive.Stop()
+	keepaliveInterval = max(FollowKeepaliveInterval, keepaliveInterval)
+	keepaliveTicker := time.NewTicker(keepaliveInterval)
+	defer keepaliveTicker.Stop()
 
-	feed := chutefeed.NewFeed(m.GetKnown().GetVersion(), m.GetKnown().GetDigests())
+	feed := chutefeed.NewFeed(request.GetKnown().GetVersion(), request.GetKnown().GetDigests())
 	for {
-		followed := s.handlers.OnTable(m.GetTable())
-		if followed.Leaving {
+		state := s.handlers.OnTable(request.GetTable())
+		if state.Leaving {
 			return status.Error(codes.Unavailable, "this VM is shutting down")
 		}
-		update := &chutesharepb.FollowTableUpdate{Current: followed.Current, AgeMs: followed.Age.Milliseconds()}
-		change, ok := feed.Next(followed.Table)
+		update := &chutesharepb.FollowTableUpdate{Current: state.Current, AgeMs: state.Age.Milliseconds()}
+		change, ok := feed.Next(state.Table)
 		if ok {
 			var err error
-			if update.Change, err = s.packs.encode(m.GetTable(), change); err != nil {
+			if update.Change, err = s.tableEncoder.encode(request.GetTable(), change); err != nil {
 				return err
 			}
 		}
 		if err := stream.Send(update); err != nil {
 			return err
 		}
-		alive.Reset(every)
+		keepaliveTicker.Reset(keepaliveInterval)
 		select {
-		case <-followed.Changed:
-		case <-alive.C:
+		case <-state.Changed:
+		case <-keepaliveTicker.C:
 		case <-stream.Context().Done():
 			return nil
 		}
@@ -65,115 +65,115 @@
 }
 
 // ReadTable hands out what a caller lacks of a table as this node knows it.
-func (s service) ReadTable(_ context.Context, m *chutesharepb.ReadTableRequest) (*chutesharepb.ReadTableReply, error) {
-	followed := s.handlers.OnTable(m.GetTable())
-	reply := &chutesharepb.ReadTableReply{Current: followed.Current, AgeMs: followed.Age.Milliseconds()}
-	if followed.Table.Version() <= m.GetKnown().GetVersion() {
+func (s service) ReadTable(_ context.Context, request *chutesharepb.ReadTableRequest) (*chutesharepb.ReadTableReply, error) {
+	state := s.handlers.OnTable(request.GetTable())
+	reply := &chutesharepb.ReadTableReply{Current: state.Current, AgeMs: state.Age.Milliseconds()}
+	if state.Table.Version() <= request.GetKnown().GetVersion() {
 		return reply, nil
 	}
 	var err error
-	reply.Change, err = s.packs.encode(m.GetTable(), followed.Table.Missing(m.GetKnown().GetDigests()))
+	reply.Change, err = s.tableEncoder.encode(request.GetTable(), state.Table.Missing(request.GetKnown().GetDigests()))
 
 	return reply, err
 }
 
 // ReadTable asks a peer for what is missing of a table; the change is empty and without a version
 // if the peer has nothing newer.
-func (c *Client) ReadTable(ctx context.Context, address, table string, known chutefeed.Table) (chutefeed.Change, Word, error) {
-	conn, err := c.connection(address)
+func (c *Client) ReadTable(ctx context.Context, address, table string, known chutefeed.Table) (chutefeed.Change, TableStatus, error) {
+	conn, err := c.connTo(address)
 	if err != nil {
-		return chutefeed.Change{}, Word{}, err
+		return chutefeed.Change{}, TableStatus{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, readTableTimeout)
 	defer cancel()
 
-	fault := oops.In("share").With("step", "read table", "peer", address)
+	errorContext := oops.In("share").With("step", "read table", "peer", address)
 	reply, err := chutesharepb.NewShareClient(conn).ReadTable(ctx, &chutesharepb.ReadTableRequest{Table: table, Known: encodeKnown(known)})
 	if err != nil {
 		if ctx.Err() != nil {
 			// Silent: the next question shall not wait on the same connection.
-			c.forget(address, conn)
+			c.closeConn(address, conn)
 		}
 
-		return chutefeed.Change{}, Word{}, fault.Wrap(err)
+		return chutefeed.Change{}, TableStatus{}, errorContext.Wrap(err)
 	}
-	word := wordOf(reply)
+	tableStatus := decodeTableStatus(reply)
 	if reply.GetChange() == nil {
-		return chutefeed.Change{}, word, nil
+		return chutefeed.Change{}, tableStatus, nil
 	}
 	change, err := decodeChange(reply.GetChange(), len(known.Digests()))
 	if err != nil {
-		return chutefeed.Change{}, Word{}, fault.Wrap(err)
+		return chutefeed.Change{}, TableStatus{}, errorContext.Wrap(err)
 	}
 
-	return change, word, nil
+	return change, tableStatus, nil
 }
 
-// Word is what a peer says of a table as it knows it.
-type Word struct {
+// TableStatus is what a peer says of a table as it knows it.
+type TableStatus struct {
 	// Current says that the peer, and those that it follows, reach the store.
 	Current bool
 	// Age is how long ago the table was known to be up to date with the store.
 	Age time.Duration
 }
 
-// Known says whether the peer's table was ever known to be up to date.
-func (w Word) Known() bool {
-	return w.Current || w.Age > 0
+// HasBeenCurrent says whether the peer's table was ever known to be up to date.
+func (s TableStatus) HasBeenCurrent() bool {
+	return s.Current || s.Age > 0
 }
 
-// wordOf decodes what a peer says of a table.
-func wordOf(m interface {
+// decodeTableStatus decodes what a peer says of a table.
+func decodeTableStatus(message interface {
 	GetCurrent() bool
 	GetAgeMs() int64
 },
-) Word {
-	return Word{Current: m.GetCurrent(), Age: time.Duration(m.GetAgeMs()) * time.Millisecond}
+) TableStatus {
+	return TableStatus{Current: message.GetCurrent(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 }
 
 // FollowTable reads a table from a peer until the peer is gone or silent, or more returns
 // false; every is how often the peer shows that it lives. It calls take with each change,
 // beginning with what known lacks, and more after each word of the peer.
 func (c *Client) FollowTable(
-	ctx context.Context, address, table string, known chutefeed.Table, every time.Duration,
-	take func(chutefeed.Change), more func(word Word) bool,
+	ctx context.Context, address, table string, known chutefeed.Table, keepaliveInterval time.Duration,
+	applyChange func(chutefeed.Change), keepFollowing func(status TableStatus) bool,
 ) error {
-	conn, err := c.connection(address)
+	conn, err := c.connTo(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 
-	silence := followSigns * every
-	watch := time.AfterFunc(silence, func() { cancel(errSilent) })
-	defer watch.Stop()
+	silenceTimeout := maxMissedKeepalives * keepaliveInterval
+	silenceTimer := time.AfterFunc(silenceTimeout, func() { cancel(errPeerSilent) })
+	defer silenceTimer.Stop()
 
-	digests := len(known.Digests())
+	groupCount := len(known.Digests())
 	stream, err := chutesharepb.NewShareClient(conn).FollowTable(ctx, &chutesharepb.FollowTableRequest{
-		Table: table, Known: encodeKnown(known), SignMs: int32(every.Milliseconds()), //nolint:gosec // a second at most
+		Table: table, Known: encodeKnown(known), SignMs: int32(keepaliveInterval.Milliseconds()), //nolint:gosec // a second at most
 	})
 	for err == nil {
 		var update *chutesharepb.FollowTableUpdate
 		if update, err = stream.Recv(); err != nil {
 			break
 		}
-		watch.Reset(silence)
+		silenceTimer.Reset(silenceTimeout)
 		if update.GetChange() != nil {
 			var change chutefeed.Change
-			if change, err = decodeChange(update.GetChange(), digests); err != nil {
+			if change, err = decodeChange(update.GetChange(), groupCount); err != nil {
 				break
 			}
-			take(change)
+			applyChange(change)
 		}
-		if !more(wordOf(update)) {
+		if !keepFollowing(decodeTableStatus(update)) {
 			return nil
 		}
 	}
-	if errors.Is(context.Cause(ctx), errSilent) {
-		c.forget(address, conn)
+	if errors.Is(context.Cause(ctx), errPeerSilent) {
+		c.closeConn(address, conn)
 
-		return errSilent
+		return errPeerSilent
 	}
 
 	return err
--- a/internal/chuteshare/wire.go
+++ b/internal/chuteshare/wire.go
@@ -9,79 +9,79 @@
 )
 
 // encodeJob writes times as spans from now.
-func encodeJob(j chutebatch.Job, now time.Time) *chutesharepb.MakeRequest {
+func encodeJob(job chutebatch.Job, now time.Time) *chutesharepb.MakeRequest {
 	return &chutesharepb.MakeRequest{
-		Request: j.Request, Pool: j.Pool, Stage: int32(j.Stage), Parts: int32(j.Parts), //nolint:gosec // small counts
-		Key: j.Key, Inputs: j.Inputs, ResultBytes: j.ResultBytes, Priority: int32(j.Priority), //nolint:gosec // small
-		AimMs: j.TargetAt.Sub(now).Milliseconds(), DeadlineMs: j.Deadline.Sub(now).Milliseconds(),
-		RestMs: j.TimeAfterStage.Milliseconds(), Zone: j.Zone, Shard: j.Shard, Then: j.FollowingPools, InputsAt: j.InputUpstreams,
-		Workspace: j.Workspace, Fingerprint: j.Fingerprint, Pipeline: j.Pipeline,
+		Request: job.Request, Pool: job.Pool, Stage: int32(job.Stage), Parts: int32(job.Parts), //nolint:gosec // small counts
+		Key: job.Key, Inputs: job.Inputs, ResultBytes: job.ResultBytes, Priority: int32(job.Priority), //nolint:gosec // small
+		AimMs: job.TargetAt.Sub(now).Milliseconds(), DeadlineMs: job.Deadline.Sub(now).Milliseconds(),
+		RestMs: job.TimeAfterStage.Milliseconds(), Zone: job.Zone, Shard: job.Shard, Then: job.FollowingPools, InputsAt: job.InputUpstreams,
+		Workspace: job.Workspace, Fingerprint: job.Fingerprint, Pipeline: job.Pipeline,
 	}
 }
 
-// encodeAsk writes a job with what goes beside it.
-func encodeAsk(asked Ask, now time.Time) *chutesharepb.MakeRequest {
-	m := encodeJob(asked.Job, now)
-	m.Loads = encodeLoads(asked.Loads)
+// encodeJobRequest writes a job with what goes beside it.
+func encodeJobRequest(request JobRequest, now time.Time) *chutesharepb.MakeRequest {
+	message := encodeJob(request.Job, now)
+	message.Loads = encodeLoads(request.Loads)
 
-	return m
+	return message
 }
 
 func encodeLoads(loads []chutefleet.LoadReport) []*chutesharepb.LoadReport {
-	out := make([]*chutesharepb.LoadReport, 0, len(loads))
-	for _, l := range loads {
-		out = append(out, &chutesharepb.LoadReport{
-			Upstream: l.Upstream, Calls: int32(l.Calls), AgeMs: l.Age.Milliseconds(), //nolint:gosec // small counts
+	converted := make([]*chutesharepb.LoadReport, 0, len(loads))
+	for _, load := range loads {
+		converted = append(converted, &chutesharepb.LoadReport{
+			Upstream: load.Upstream, Calls: int32(load.Calls), AgeMs: load.Age.Milliseconds(), //nolint:gosec // small counts
 		})
 	}
 
-	return out
+	return converted
 }
 
 func decodeLoads(loads []*chutesharepb.LoadReport) []chutefleet.LoadReport {
-	var out []chutefleet.LoadReport
-	for _, l := range loads {
-		out = append(out, chutefleet.LoadReport{
-			Upstream: l.GetUpstream(), Calls: int(max(0, l.GetCalls())),
-			Age: time.Duration(max(0, l.GetAgeMs())) * time.Millisecond,
+	var converted []chutefleet.LoadReport
+	for _, load := range loads {
+		converted = append(converted, chutefleet.LoadReport{
+			Upstream: load.GetUpstream(), Calls: int(max(0, load.GetCalls())),
+			Age: time.Duration(max(0, load.GetAgeMs())) * time.Millisecond,
 		})
 	}
 
-	return out
+	return converted
 }
 
-func decodeJob(m *chutesharepb.MakeRequest, now time.Time) chutebatch.Job {
+func decodeJob(message *chutesharepb.MakeRequest, now time.Time) chutebatch.Job {
 	return chutebatch.Job{
-		Request: m.GetRequest(), Pool: m.GetPool(), Stage: int(m.GetStage()), Parts: int(m.GetParts()),
-		Key: m.GetKey(), Inputs: m.GetInputs(), ResultBytes: m.GetResultBytes(), Priority: int(m.GetPriority()),
-		TargetAt:       now.Add(time.Duration(m.GetAimMs()) * time.Millisecond),
-		Deadline:       now.Add(time.Duration(m.GetDeadlineMs()) * time.Millisecond),
-		TimeAfterStage: time.Duration(m.GetRestMs()) * time.Millisecond,
-		Zone:           m.GetZone(),
-		Shard:          m.GetShard(),
-		FollowingPools: m.GetThen(),
-		InputUpstreams: m.GetInputsAt(),
-		Workspace:      m.GetWorkspace(),
+		Request: message.GetRequest(), Pool: message.GetPool(), Stage: int(message.GetStage()), Parts: int(message.GetParts()),
+		Key: message.GetKey(), Inputs: message.GetInputs(), ResultBytes: message.GetResultBytes(), Priority: int(message.GetPriority()),
+		TargetAt:       now.Add(time.Duration(message.GetAimMs()) * time.Millisecond),
+		Deadline:       now.Add(time.Duration(message.GetDeadlineMs()) * time.Millisecond),
+		TimeAfterStage: time.Duration(message.GetRestMs()) * time.Millisecond,
+		Zone:           message.GetZone(),
+		Shard:          message.GetShard(),
+		FollowingPools: message.GetThen(),
+		InputUpstreams: message.GetInputsAt(),
+		Workspace:      message.GetWorkspace(),
 
-		Fingerprint: m.GetFingerprint(),
-		Pipeline:    m.GetPipeline(),
+		Fingerprint: message.GetFingerprint(),
+		Pipeline:    message.GetPipeline(),
 	}
 }
 
 func encodeResults(results []chutebatch.Result) []*chutesharepb.Result {
-	out := make([]*chutesharepb.Result, 0, len(results))
-	for _, r := range results {
-		out = append(out, &chutesharepb.Result{Ref: r.Ref, Upstream: r.Upstream, Zone: r.Zone})
+	converted := make([]*chutesharepb.Result, 0, len(results))
+	for _, result := range results {
+		converted = append(converted, &chutesharepb.Result{Ref: result.Ref, Upstream: result.Upstream, Zone: result.Zone})
 	}
 
-	return out
+	return converted
 }
 
 func decodeResults(results []*chutesharepb.Result) []chutebatch.Result {
-	out := make([]chutebatch.Result, 0, len(results))
-	for _, r := range results {
-		out = append(out, chutebatch.Result{Ref: r.GetRef(), Upstream: r.GetUpstream(), Zone: r.GetZone()})
+	converted := make([]chutebatch.Result, 0, len(results))
+	for _, result := range results {
+		converted = append(converted, chutebatch.Result{Ref: result.GetRef(), Upstream: result.GetUpstream(), Zone: result.GetZone()})
 	}
 
-	return out
+	return converted
 }
