--- a/internal/chuteshare/client.go
+++ b/internal/chuteshare/client.go
@@ -19,33 +19,35 @@
 )
 
 const (
-	// firstKeepaliveTimeout is how long a collector may take to its first sign of life, and
-	// nextSign to each further one: three of its signs, for a slowed machine.
+	// firstKeepaliveTimeout is how long a collector may take to send its first keepalive, and
+	// keepaliveTimeout how long for each further one: three intervals, to tolerate a slow machine.
 	firstKeepaliveTimeout = 500 * time.Millisecond
 	keepaliveTimeout      = 3 * jobKeepaliveInterval
-	// connectTimeout bounds one attempt to connect, and the backoffs the pause after one that failed.
+	// connectTimeout bounds one attempt to connect; minBackoff and maxBackoff bound the pause
+	// after a failed attempt.
 	connectTimeout = 400 * time.Millisecond
 	minBackoff     = 100 * time.Millisecond
 	maxBackoff     = time.Second
-	// maxReplyBytes bounds a reply; a configuration grows by hundreds of routes.
+	// maxReplyBytes bounds one received message and an unpacked table; a configuration may
+	// grow by hundreds of routes.
 	maxReplyBytes = 16 << 20
 )
 
-// Client asks other nodes; it keeps one connection an address.
+// Client calls other nodes; it keeps one connection for each address.
 type Client struct {
-	// Dial connects to an address, by TCP if it is nil; it is set before the first call.
+	// Dial connects to an address; nil means TCP. It must be set before the first call.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 
 	mu            sync.Mutex
 	connByAddress map[string]*grpc.ClientConn
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a client without open connections.
 func NewClient() *Client {
 	return &Client{connByAddress: map[string]*grpc.ClientConn{}}
 }
 
-// Close ends all connections.
+// Close closes all connections; calls that still run on them fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -56,6 +58,7 @@
 	}
 }
 
+// connTo returns the connection to an address and creates it if there is none.
 func (c *Client) connTo(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,8 +88,8 @@
 	return conn, nil
 }
 
-// closeConn closes the connection to an address after it went silent: calls on a
-// connection that something between the ends has lost track of never end.
+// closeConn closes a connection whose peer went silent, so that the next call opens a new one.
+// If a device between the nodes has lost the state of a connection, calls on it never end.
 func (c *Client) closeConn(address string, conn *grpc.ClientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,28 +100,31 @@
 	_ = conn.Close()
 }
 
-// JobEnd is how a job at a peer ended.
+// JobEnd says how a job at a peer ended.
 type JobEnd struct {
 	// Lost says that the peer is gone, silent or shutting down.
 	Lost bool
-	// Silent says that no connection came about, or that nothing came back on one.
+	// Silent says that no connection could be opened, or that the peer sent nothing in time.
 	Silent bool
+	// Reason is the reason that the peer gave, or the text of the error that ended the call.
 	Reason string
-	// Wait is how long a job of the same kind would wait there now.
+	// Wait is how long a job of the same kind would currently wait at the peer.
 	Wait time.Duration
-	// OverShare says that Wait holds for the job's workspace alone, which is beyond its share.
+	// OverShare says that the job's workspace is over its share, so that Wait holds only for
+	// that workspace.
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads reports on overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
+// decodeWait returns the wait time that an update announces.
 func decodeWait(update *chutesharepb.MakeUpdate) time.Duration {
 	return time.Duration(update.GetWaitMs()) * time.Millisecond
 }
 
-// Make runs a job at a peer and holds the lease on its results until ctx ends.
-// It calls made once the results are there, and returns how the job ended if
-// that was not by ctx.
+// Make runs a job at a peer and holds the lease on its results until ctx ends. The times of
+// the job are sent relative to now. It calls onResults once the results are there. It returns
+// true and how the job ended if something other than ctx ended it, and false otherwise.
 func (c *Client) Make(
 	ctx context.Context, address string, request JobRequest, now time.Time, onResults func(JobUpdate),
 ) (JobEnd, bool) {
@@ -147,10 +153,12 @@
 	return end, true
 }
 
-// errPeerSilent ends a call whose peer shows no sign of life.
+// errPeerSilent is the cause of a call that is cancelled because the peer sends no keepalive.
 var errPeerSilent = errors.New("the peer shows no sign of life")
 
-// readJobUpdates reads a job's updates until it fails or the stream ends.
+// readJobUpdates sends a job request and reads its updates until the job fails or the stream
+// ends. Keepalives restart silenceTimer; the results stop it, because the peer sends nothing
+// after them.
 func readJobUpdates(
 	ctx context.Context, conn *grpc.ClientConn, request *chutesharepb.MakeRequest, silenceTimer *time.Timer,
 	onResults func(JobUpdate),
--- a/internal/chuteshare/doc.go
+++ b/internal/chuteshare/doc.go
@@ -1,8 +1,8 @@
-// Package chuteshare carries what nodes say to each other about relayed
-// requests: jobs for collectors with reports on upstreams' loads, and the tables of the
+// Package chuteshare implements the gRPC protocol between the nodes of a site: job
+// requests to collectors, reports on the load of upstreams, and the tables of the
 // platform's store for nodes that follow this one or cannot reach the store.
 //
-// A job's stream is also its lease: while it is open the collector keeps the
-// results, and when it ends, for whatever reason, they are freed. So a caller
-// that dies leaves nothing behind, and no message can be lost that matters.
+// The stream of a job is also its lease: the collector keeps the results while the stream
+// is open and frees them when it ends, for whatever reason. A caller that crashes therefore
+// leaves no results behind, and no separate message to free them can be lost.
 package chuteshare
--- a/internal/chuteshare/pack.go
+++ b/internal/chuteshare/pack.go
@@ -13,24 +13,25 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// minPackedRows is the number of rows from which on they are packed. A table of thousands of
-// upstreams shrinks to a third, which counts when a whole zone starts at once and asks
-// nodes with slow links; a few rows are not worth the processor time.
+// minPackedRows is the number of rows from which on a table is packed, that is compressed with
+// deflate. A table of thousands of upstreams shrinks to a third, which matters when a whole zone
+// starts at once and reads from nodes with slow links; a few rows are not worth the CPU time.
 const minPackedRows = 64
 
-// tableEncoder keeps the packed form of each table's last state: many followers start at once,
-// and each would otherwise have the same rows packed for itself.
+// tableEncoder encodes changes and caches the packed form of the last state of each table. When
+// many followers start at once, the same rows would otherwise be packed once for each of them.
 type tableEncoder struct {
 	mu         sync.Mutex
 	lastPacked map[string]packedTable
 }
 
+// packedTable holds the rows of a table and their packed form.
 type packedTable struct {
 	rows   []chutefeed.Row
 	packed []byte
 }
 
-// encode writes a change, packed if it is a long table.
+// encode converts a change to its message; a whole table of minPackedRows rows or more is packed.
 func (e *tableEncoder) encode(table string, change chutefeed.Change) (*chutesharepb.Change, error) {
 	message := &chutesharepb.Change{Version: change.Version, Whole: change.Whole, Groups: change.Groups, Gone: change.Gone}
 	if !change.Whole || len(change.Rows) < minPackedRows {
@@ -44,7 +45,8 @@
 	return message, err
 }
 
-// packRows returns rows packed, from the last call if they are the same.
+// packRows returns the packed form of rows. It returns the cached form if rows is the same slice
+// as in the last call for the table.
 func (e *tableEncoder) packRows(table string, rows []chutefeed.Row) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,7 +78,7 @@
 	return buffer.Bytes(), nil
 }
 
-// unpackRows reads what packed has written.
+// unpackRows decodes what packRows returns, up to maxReplyBytes of unpacked data.
 func unpackRows(packed []byte) ([]*chutesharepb.Row, error) {
 	reader := flate.NewReader(bytes.NewReader(packed))
 	plain, err := io.ReadAll(io.LimitReader(reader, maxReplyBytes))
@@ -91,10 +93,12 @@
 	return list.GetRows(), nil
 }
 
+// encodeKnown returns the version and digests by which a peer finds out what t lacks.
 func encodeKnown(t chutefeed.Table) *chutesharepb.Known {
 	return &chutesharepb.Known{Version: t.Version(), Digests: t.Digests()}
 }
 
+// encodeRows converts rows to messages.
 func encodeRows(rows []chutefeed.Row) []*chutesharepb.Row {
 	messages := make([]*chutesharepb.Row, 0, len(rows))
 	for _, row := range rows {
@@ -104,7 +108,8 @@
 	return messages
 }
 
-// decodeChange reads a change that was made for a table with a number of digests.
+// decodeChange converts a message to a change; groupCount is the number of digests, one for each
+// group of rows, that the receiver sent.
 func decodeChange(message *chutesharepb.Change, groupCount int) (chutefeed.Change, error) {
 	rows := message.GetRows()
 	if len(message.GetPacked()) > 0 {
@@ -121,6 +126,7 @@
 	return change, nil
 }
 
+// decodeRows converts messages to rows.
 func decodeRows(messages []*chutesharepb.Row) []chutefeed.Row {
 	rows := make([]chutefeed.Row, 0, len(messages))
 	for _, message := range messages {
--- a/internal/chuteshare/server.go
+++ b/internal/chuteshare/server.go
@@ -16,75 +16,79 @@
 )
 
 const (
-	// jobKeepaliveInterval is how often a collector tells each waiting caller that it lives.
+	// jobKeepaliveInterval is how often a collector sends a keepalive to each waiting caller.
 	jobKeepaliveInterval = 250 * time.Millisecond
-	// connBufferBytes is small because messages are.
+	// connBufferBytes is the size of the read and write buffers of a connection. It is small
+	// because the messages are small.
 	connBufferBytes = 8 << 10
-	// connKeepalive is how long a connection whose other end vanished is kept.
+	// connKeepalive is both how long a connection may be idle before gRPC pings the peer and
+	// how long gRPC waits for the reply before it closes the connection to a vanished peer.
 	connKeepalive = 2 * time.Second
-	// maxParts bounds the parts of one job; requests have a few dozen.
+	// maxParts bounds the parts of one job; usual requests have a few dozen.
 	maxParts = 10_000
 )
 
-// JobUpdate is what becomes of a job.
+// JobUpdate reports the results of a job or its failure.
 type JobUpdate struct {
 	Results []chutebatch.Result
-	// Failure is empty if there are results.
+	// Failure is the reason of the failure; empty if the job has results.
 	Failure string
 	// Leaving says that this node is shutting down.
 	Leaving bool
-	// Wait is how long a job of the same kind would wait here now.
+	// Wait is how long a job of the same kind would currently wait at this node.
 	Wait time.Duration
-	// OverShare says that Wait holds for the job's workspace alone, which is beyond its share.
+	// OverShare says that the job's workspace is over its share, so that Wait holds only for
+	// that workspace.
 	OverShare bool
-	// Loads are on upstreams that are crowded.
+	// Loads reports on overloaded upstreams.
 	Loads []chutefleet.LoadReport
 }
 
-// JobRequest is a job with what the node that asks has heard of upstreams' loads.
+// JobRequest is a job together with the load reports on upstreams that the requesting node
+// has received.
 type JobRequest struct {
 	Job   chutebatch.Job
 	Loads []chutefleet.LoadReport
 }
 
-// Handlers answers other nodes; all fields must be set.
+// Handlers holds the functions that serve the calls of other nodes; all fields must be set.
 type Handlers struct {
-	// OnJob takes a job in; the update comes on the channel, which has room for it.
+	// OnJob starts a job. Its one update is sent on the channel, which is buffered for it.
 	OnJob func(token uint64, request JobRequest, updates chan<- JobUpdate)
-	// OnLeaseEnd ends a job's lease.
+	// OnLeaseEnd is called when the lease of a job ends.
 	OnLeaseEnd func(token uint64)
-	// OnTable returns a table of the store as this node knows it.
+	// OnTable returns this node's copy of a table of the store.
 	OnTable func(table string) TableState
-	// OnTell takes in rows of one of the system's own tables; hops is how often they are
-	// still to be passed on.
+	// OnTell applies rows of one of the system's own tables; hops is how many more times they
+	// are passed on.
 	OnTell func(table string, rows []chutefeed.Row, hops int)
-	// Now tells the time in which jobs are meant.
+	// Now returns the current time, to which the relative times of received jobs are added.
 	Now func() time.Time
-	// NewToken returns a number that was not given out before.
+	// NewToken returns a number that it has not returned before; it identifies a job.
 	NewToken func() uint64
 }
 
-// TableState is a table as a node knows it.
+// TableState is a node's copy of a table and how current it is.
 type TableState struct {
 	Table chutefeed.Table
-	// Current says that the node, and the one that it follows, reach the store.
+	// Current says that the node, and its source if it has one, reach the store.
 	Current bool
-	// Age is how long ago the table was known to be up to date with the store.
+	// Age is the time since the copy was last known to be up to date with the store.
 	Age time.Duration
-	// Changed is closed by the next change of the rows or of Current, and when the table is
-	// known to be up to date anew.
+	// Changed is closed when the rows or Current change, and when the copy is confirmed to be
+	// up to date again.
 	Changed <-chan struct{}
-	// Leaving says that the node is shutting down: it serves no followers any more. It
-	// may follow a node that follows it, and both would take old rows for current.
+	// Leaving says that the node is shutting down and no longer serves followers. It may follow
+	// one of its own followers, and both would then take outdated rows for current ones.
 	Leaving bool
 }
 
-// Server serves other nodes.
+// Server serves the calls of other nodes.
 type Server struct {
 	grpc *grpc.Server
 }
 
-// NewServer returns a server that is not listening yet.
+// NewServer returns a server that does not accept connections yet.
 func NewServer(h Handlers) *Server {
 	s := &Server{grpc: grpc.NewServer(
 		grpc.ReadBufferSize(connBufferBytes),
@@ -97,24 +101,24 @@
 	return s
 }
 
-// Serve accepts connections until Stop.
+// Serve accepts connections on l until Stop is called. Its error comes from the listener.
 func (s *Server) Serve(l net.Listener) error {
 	return s.grpc.Serve(l)
 }
 
-// Stop ends all calls.
+// Stop closes the listener and all connections, which ends all calls.
 func (s *Server) Stop() {
 	s.grpc.Stop()
 }
 
-// service answers the calls of the protocol.
+// service implements the generated server interface.
 type service struct {
 	chutesharepb.UnimplementedShareServer
 	handlers     Handlers
 	tableEncoder *tableEncoder
 }
 
-// Make runs one job and keeps its results until the caller goes.
+// Make runs one job and keeps its results until the caller ends the stream.
 func (s service) Make(request *chutesharepb.MakeRequest, stream grpc.ServerStreamingServer[chutesharepb.MakeUpdate]) error {
 	if parts := request.GetParts(); parts <= 0 || parts > maxParts || request.GetPool() == "" || request.GetRequest() == "" {
 		return status.Error(codes.InvalidArgument, "Parts, Pool or Request of the job is out of range")
@@ -136,7 +140,7 @@
 			if err := stream.Send(encodeUpdate(update)); err != nil || update.Failure != "" {
 				return err
 			}
-			// The results are there: only the end of the lease is left to wait for.
+			// The results are sent; the stream stays open until the lease ends.
 			<-stream.Context().Done()
 
 			return nil
@@ -150,6 +154,7 @@
 	}
 }
 
+// encodeUpdate converts a job update to its message.
 func encodeUpdate(update JobUpdate) *chutesharepb.MakeUpdate {
 	if update.Failure != "" {
 		return &chutesharepb.MakeUpdate{
--- a/internal/chuteshare/share_test.go
+++ b/internal/chuteshare/share_test.go
@@ -16,7 +16,7 @@
 
 var startTime = time.Unix(1000, 0)
 
-// testServer is a server whose answers a test decides.
+// testServer is a collector whose updates and table are set by a test.
 type testServer struct {
 	address string
 	jobs    chan JobRequest
@@ -27,7 +27,7 @@
 	changed chan struct{}
 }
 
-// setTable makes the server's table known, and tells followers of the last one.
+// setTable replaces the server's table and notifies the followers of the previous one.
 func (c *testServer) setTable(table chutefeed.Table, current bool) {
 	changed := make(chan struct{})
 	last := c.table.Swap(&TableState{Table: table, Current: current, Changed: changed})
@@ -84,7 +84,7 @@
 }
 
 func TestMake(t *testing.T) {
-	t.Run("a job arrives as it was sent, its results come back, and its lease lasts until it is ended", func(t *testing.T) {
+	t.Run("a job arrives as sent, its results come back, and its lease lasts until the caller ends it", func(t *testing.T) {
 		c := qt.New(t)
 		s := startServer(t)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -107,7 +107,7 @@
 		c.Assert(<-ended, qt.IsFalse)
 	})
 
-	t.Run("a refusal is told with its reason", func(t *testing.T) {
+	t.Run("a refusal is returned with its reason", func(t *testing.T) {
 		c := qt.New(t)
 		s := startServer(t)
 		go func() { <-s.updates <- JobUpdate{Failure: "Late"} }()
@@ -116,8 +116,9 @@
 		c.Assert(end, qt.DeepEquals, JobEnd{Reason: "Late"})
 	})
 
-	t.Run("a peer that shows no sign of life is lost, not waited for", func(t *testing.T) {
-		// A node froze: its kernel accepts the connection, nobody answers.
+	t.Run("a peer that sends no keepalive is lost", func(t *testing.T) {
+		// The peer is a frozen node: its kernel accepts the connection, but the process never
+		// answers.
 		c := qt.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
@@ -127,7 +128,7 @@
 		c.Assert(end.Lost, qt.IsTrue)
 	})
 
-	t.Run("a peer that is gone is lost", func(t *testing.T) {
+	t.Run("a peer that refuses the connection is lost", func(t *testing.T) {
 		c := qt.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
@@ -137,7 +138,7 @@
 		c.Assert(end.Lost, qt.IsTrue)
 	})
 
-	t.Run("a job without parts is refused by name", func(t *testing.T) {
+	t.Run("a job without parts is refused with the name of the field", func(t *testing.T) {
 		c := qt.New(t)
 		bad := newJobRequest()
 		bad.Job.Parts = 0
--- a/internal/chuteshare/size_test.go
+++ b/internal/chuteshare/size_test.go
@@ -11,7 +11,7 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// upstreamRow is an upstream's entry as nodes hand it on.
+// upstreamRow returns the row of the i-th upstream in the form that nodes send.
 func upstreamRow(i int, state string) chutefeed.Row {
 	value := fmt.Sprintf(`{"service":"pool-%d","address":"10.%d.%d.%d:8608","zone":"hall-%d","version":"v1",`+
 		`"concurrency":32,"state":%q,"warmup_left_ms":0,"sequence":0}`, i%5, i>>16, i>>8&255, i&255, i%5, state)
@@ -19,6 +19,7 @@
 	return chutefeed.Row{Key: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Value: []byte(value), Version: uint64(i)}
 }
 
+// upstreamTable returns a table of n ready upstreams.
 func upstreamTable(n int) chutefeed.Table {
 	rows := make([]chutefeed.Row, 0, n)
 	for i := range n {
@@ -28,11 +29,13 @@
 	return chutefeed.NewTable(rows, uint64(n))
 }
 
-// messageSizes are the bytes of the messages that a follower gets.
+// messageSizes holds the sizes in bytes of the messages to a follower: a whole table, the change of
+// one row, the difference after it switches to another source, and a keepalive.
 type messageSizes struct {
 	wholeTable, change, sourceSwitch, keepalive int
 }
 
+// measureSizes returns the sizes for a table of a number of upstreams.
 func measureSizes(c *qt.C, upstreams int) messageSizes {
 	size := func(change chutefeed.Change) int {
 		message, err := (&tableEncoder{}).encode("t", change)
@@ -52,7 +55,7 @@
 }
 
 func TestSizes(t *testing.T) {
-	t.Run("what a change and a sign of life take does not grow with the upstreams", func(t *testing.T) {
+	t.Run("the sizes of a change and of a keepalive do not grow with the number of upstreams", func(t *testing.T) {
 		c := qt.New(t)
 		for _, upstreams := range []int{236, 3_000, 8_000} {
 			got := measureSizes(c, upstreams)
@@ -65,7 +68,7 @@
 	})
 }
 
-// BenchmarkSizes prints the bytes of the messages that a follower gets.
+// BenchmarkSizes reports the sizes in bytes of the messages to a follower.
 func BenchmarkSizes(b *testing.B) {
 	for _, upstreams := range []int{236, 1_000, 3_000, 8_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
--- a/internal/chuteshare/tables.go
+++ b/internal/chuteshare/tables.go
@@ -15,19 +15,21 @@
 )
 
 const (
-	// FollowKeepaliveInterval is how often a followed node says that it is up to date. What its
-	// followers know is at most three times this old when they find out that it is
-	// gone, which leaves them a second of the 2 s in which they have to know of a change.
+	// FollowKeepaliveInterval is how often a source tells its followers whether it is up to date.
+	// Followers detect a lost source after at most three intervals, so that their copy is then at
+	// most that old. They have to know of a change within 2 s, which leaves them one second.
 	FollowKeepaliveInterval = 300 * time.Millisecond
-	// SlowFollowKeepaliveInterval is the same for a table whose news also comes by other ways.
+	// SlowFollowKeepaliveInterval is the same for tables whose changes also arrive in other ways.
 	SlowFollowKeepaliveInterval = time.Second
-	// maxMissedKeepalives is the number of signs of life that a followed node may miss.
+	// maxMissedKeepalives is the number of keepalive intervals without a message after which a
+	// source counts as silent.
 	maxMissedKeepalives = 3
-	// readTableTimeout bounds a question for a table.
+	// readTableTimeout bounds one ReadTable call.
 	readTableTimeout = 500 * time.Millisecond
 )
 
-// FollowTable hands out a table until the caller goes.
+// FollowTable sends a follower what it lacks of a table, then each change, with keepalives in
+// between, until the follower ends the stream or this node shuts down.
 func (s service) FollowTable(request *chutesharepb.FollowTableRequest, stream grpc.ServerStreamingServer[chutesharepb.FollowTableUpdate]) error {
 	keepaliveInterval := time.Duration(request.GetSignMs()) * time.Millisecond
 	if keepaliveInterval <= 0 {
@@ -64,7 +66,7 @@
 	}
 }
 
-// ReadTable hands out what a caller lacks of a table as this node knows it.
+// ReadTable returns the rows of this node's copy of a table that the caller lacks.
 func (s service) ReadTable(_ context.Context, request *chutesharepb.ReadTableRequest) (*chutesharepb.ReadTableReply, error) {
 	state := s.handlers.OnTable(request.GetTable())
 	reply := &chutesharepb.ReadTableReply{Current: state.Current, AgeMs: state.Age.Milliseconds()}
@@ -77,8 +79,8 @@
 	return reply, err
 }
 
-// ReadTable asks a peer for what is missing of a table; the change is empty and without a version
-// if the peer has nothing newer.
+// ReadTable asks a peer for the rows that known lacks. The change is empty and has version 0 if
+// the peer has nothing newer.
 func (c *Client) ReadTable(ctx context.Context, address, table string, known chutefeed.Table) (chutefeed.Change, TableStatus, error) {
 	conn, err := c.connTo(address)
 	if err != nil {
@@ -91,7 +93,7 @@
 	reply, err := chutesharepb.NewShareClient(conn).ReadTable(ctx, &chutesharepb.ReadTableRequest{Table: table, Known: encodeKnown(known)})
 	if err != nil {
 		if ctx.Err() != nil {
-			// Silent: the next question shall not wait on the same connection.
+			// The peer is silent; the next call must not wait on the same connection.
 			c.closeConn(address, conn)
 		}
 
@@ -109,20 +111,20 @@
 	return change, tableStatus, nil
 }
 
-// TableStatus is what a peer says of a table as it knows it.
+// TableStatus says how current a peer's copy of a table is.
 type TableStatus struct {
-	// Current says that the peer, and those that it follows, reach the store.
+	// Current says that the peer, and the source that it follows if any, reach the store.
 	Current bool
-	// Age is how long ago the table was known to be up to date with the store.
+	// Age is the time since the copy was last known to be up to date with the store.
 	Age time.Duration
 }
 
-// HasBeenCurrent says whether the peer's table was ever known to be up to date.
+// HasBeenCurrent reports whether the peer's copy was ever known to be up to date.
 func (s TableStatus) HasBeenCurrent() bool {
 	return s.Current || s.Age > 0
 }
 
-// decodeTableStatus decodes what a peer says of a table.
+// decodeTableStatus reads the status from a reply or an update.
 func decodeTableStatus(message interface {
 	GetCurrent() bool
 	GetAgeMs() int64
@@ -131,9 +133,10 @@
 	return TableStatus{Current: message.GetCurrent(), Age: time.Duration(message.GetAgeMs()) * time.Millisecond}
 }
 
-// FollowTable reads a table from a peer until the peer is gone or silent, or more returns
-// false; every is how often the peer shows that it lives. It calls take with each change,
-// beginning with what known lacks, and more after each word of the peer.
+// FollowTable follows a table at a source until the source is gone or silent, ctx ends, or
+// keepFollowing returns false; only then the error is nil. keepaliveInterval is how often the
+// source sends a keepalive. applyChange is called with each change, beginning with what known
+// lacks, and keepFollowing after each message of the source.
 func (c *Client) FollowTable(
 	ctx context.Context, address, table string, known chutefeed.Table, keepaliveInterval time.Duration,
 	applyChange func(chutefeed.Change), keepFollowing func(status TableStatus) bool,
--- a/internal/chuteshare/tables_test.go
+++ b/internal/chuteshare/tables_test.go
@@ -12,7 +12,7 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// newTable returns a table of n rows as of a version.
+// newTable returns a table of n rows at a version.
 func newTable(n int, version uint64) chutefeed.Table {
 	rows := make([]chutefeed.Row, 0, n)
 	for i := range n {
@@ -22,7 +22,7 @@
 	return chutefeed.NewTable(rows, version)
 }
 
-// withRow returns the table with one row changed.
+// withRow returns the table at a version with one row changed.
 func withRow(t chutefeed.Table, key, value string, version uint64) chutefeed.Table {
 	return t.With(chutefeed.Change{Version: version, Rows: []chutefeed.Row{{Key: key, Value: []byte(value), Version: version}}})
 }
@@ -38,7 +38,7 @@
 		return change, change.Version > 0
 	}
 
-	t.Run("a caller that has nothing gets the whole table", func(t *testing.T) {
+	t.Run("a caller without rows gets the whole table", func(t *testing.T) {
 		c := qt.New(t)
 		change, ok := read(c, chutefeed.Table{})
 		c.Assert(ok, qt.IsTrue)
@@ -46,7 +46,7 @@
 		c.Assert(chutefeed.Table{}.With(change).Same(newTable(500, 7)), qt.IsTrue)
 	})
 
-	t.Run("one that lacks a row gets the rows of its group", func(t *testing.T) {
+	t.Run("a caller that lacks one row gets the rows of its group", func(t *testing.T) {
 		c := qt.New(t)
 		known := withRow(newTable(500, 6), "key-3", "old", 6)
 		change, ok := read(c, known)
@@ -56,14 +56,14 @@
 		c.Assert(known.With(change).Same(newTable(500, 7)), qt.IsTrue)
 	})
 
-	t.Run("one that is as far gets nothing", func(t *testing.T) {
+	t.Run("a caller with the same version gets nothing", func(t *testing.T) {
 		c := qt.New(t)
 		_, ok := read(c, newTable(500, 7))
 		c.Assert(ok, qt.IsFalse)
 	})
 }
 
-// follower follows a server in a test.
+// follower follows the table of a test server and keeps what it receives.
 type follower struct {
 	table   chutefeed.Table
 	changes chan chutefeed.Change
@@ -86,7 +86,8 @@
 	return f
 }
 
-// applyUntil takes changes in until the follower has the table.
+// applyUntil applies received changes until the follower has the table, and returns the number of
+// rows received.
 func (f *follower) applyUntil(table chutefeed.Table) (rows int) {
 	for !f.table.Same(table) || f.table.Version() != table.Version() {
 		change := <-f.changes
@@ -98,7 +99,7 @@
 }
 
 func TestFollowTable(t *testing.T) {
-	t.Run("after the whole table a change brings one row", func(t *testing.T) {
+	t.Run("after the whole table, a change sends one row", func(t *testing.T) {
 		c := qt.New(t)
 		server := startServer(t)
 		table := newTable(500, 7)
@@ -110,7 +111,7 @@
 		c.Assert(f.applyUntil(table), qt.Equals, 1)
 	})
 
-	t.Run("who comes from another node is sent what differs", func(t *testing.T) {
+	t.Run("a follower that switches from another source gets only the differences", func(t *testing.T) {
 		c := qt.New(t)
 		server := startServer(t)
 		table := withRow(newTable(500, 7), "key-3", "new", 8)
@@ -119,9 +120,9 @@
 		c.Assert(f.applyUntil(table) < 60, qt.IsTrue)
 	})
 
-	t.Run("a node that has heard less takes nothing back", func(t *testing.T) {
-		// The follower knows that an upstream is leaving. The node that it turns to
-		// reads the store a moment later and still lists it.
+	t.Run("a source with an older version does not revert its follower", func(t *testing.T) {
+		// The follower knows that an upstream is leaving. Its new source has not read that
+		// change from the store yet and still lists the upstream.
 		c := qt.New(t)
 		server := startServer(t)
 		server.setTable(newTable(500, 7), true)
@@ -134,9 +135,9 @@
 		f.applyUntil(later)
 	})
 
-	t.Run("a node that is shutting down serves nobody", func(t *testing.T) {
-		// It may follow one of those that follow it. Both would hear from each other
-		// that they are up to date, and an upstream that is leaving would get calls.
+	t.Run("a node that is shutting down serves no followers", func(t *testing.T) {
+		// The node may follow one of its own followers. Each would then confirm to the other
+		// that it is up to date, and an upstream that is leaving would still get calls.
 		c := qt.New(t)
 		server := startServer(t)
 		server.setTable(newTable(3, 7), true)
@@ -150,7 +151,8 @@
 }
 
 func TestPacks(t *testing.T) {
-	// A zone starts at once: tens of nodes ask one for a table of thousands of rows.
+	// When a whole zone starts at once, tens of nodes read a table of thousands of rows from
+	// the same node.
 	c := qt.New(t)
 	encoder := &tableEncoder{}
 	table := newTable(3000, 7)
@@ -166,7 +168,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(chutefeed.Table{}.With(change).Same(table), qt.IsTrue)
 
-	t.Run("what is no packed table is an error", func(t *testing.T) {
+	t.Run("data that is not a packed table is an error", func(t *testing.T) {
 		c := qt.New(t)
 		second.Packed = []byte("no deflate")
 		_, err := decodeChange(second, 0)
--- a/internal/chuteshare/tell.go
+++ b/internal/chuteshare/tell.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// tellTimeout bounds the call to one peer; what it misses it reads at the store.
+	// tellTimeout bounds the call to one peer; a peer that misses rows reads them from the store.
 	tellTimeout = 500 * time.Millisecond
-	// maxTellRows bounds the rows of one call; a node writes as many in one transaction.
+	// maxTellRows bounds the rows of one call; a node writes that many in one transaction.
 	maxTellRows = 100
-	// maxHops bounds how often rows are passed on: sixteen peers each time, three times,
-	// are four times the nodes of the largest site.
+	// maxHops bounds how many times rows are passed on. Each node passes them to sixteen peers,
+	// so that three hops address four times as many nodes as the largest site has.
 	maxHops = 3
 )
 
-// Tell takes in a peer's rows.
+// Tell applies rows that a peer sends.
 func (s service) Tell(_ context.Context, request *chutesharepb.TellRequest) (*chutesharepb.TellReply, error) {
 	if rowCount := len(request.GetRows()); rowCount > maxTellRows || request.GetHops() < 0 || request.GetHops() > maxHops {
 		return nil, status.Error(codes.InvalidArgument, "Rows or Hops of the call are out of range")
@@ -32,7 +32,8 @@
 	return &chutesharepb.TellReply{}, nil
 }
 
-// Tell brings a peer rows of a table; hops is how often it passes on what is new to it.
+// Tell sends rows of a table to a peer; hops is how many times rows that are new to the peer
+// are passed on.
 func (c *Client) Tell(ctx context.Context, address, table string, rows []chutefeed.Row, hops int) error {
 	errorContext := oops.In("share").With("step", "tell", "peer", address)
 	conn, err := c.connTo(address)
@@ -46,7 +47,7 @@
 		Table: table, Rows: encodeRows(rows), Hops: int32(hops), //nolint:gosec // up to maxHops
 	})
 	if err != nil && ctx.Err() != nil {
-		// Silent: the next call shall not wait on the same connection.
+		// The peer is silent; the next call must not wait on the same connection.
 		c.closeConn(address, conn)
 	}
 
--- a/internal/chuteshare/wire.go
+++ b/internal/chuteshare/wire.go
@@ -8,7 +8,8 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// encodeJob writes times as spans from now.
+// encodeJob converts a job to its message. Times are sent as durations from now, so that the
+// clocks of the nodes need not agree.
 func encodeJob(job chutebatch.Job, now time.Time) *chutesharepb.MakeRequest {
 	return &chutesharepb.MakeRequest{
 		Request: job.Request, Pool: job.Pool, Stage: int32(job.Stage), Parts: int32(job.Parts), //nolint:gosec // small counts
@@ -19,7 +20,7 @@
 	}
 }
 
-// encodeJobRequest writes a job with what goes beside it.
+// encodeJobRequest converts a job and its load reports to one message.
 func encodeJobRequest(request JobRequest, now time.Time) *chutesharepb.MakeRequest {
 	message := encodeJob(request.Job, now)
 	message.Loads = encodeLoads(request.Loads)
@@ -38,6 +39,7 @@
 	return converted
 }
 
+// decodeLoads converts messages to load reports; negative numbers become 0.
 func decodeLoads(loads []*chutesharepb.LoadReport) []chutefleet.LoadReport {
 	var converted []chutefleet.LoadReport
 	for _, load := range loads {
@@ -50,6 +52,7 @@
 	return converted
 }
 
+// decodeJob converts a message to a job; its durations count from now.
 func decodeJob(message *chutesharepb.MakeRequest, now time.Time) chutebatch.Job {
 	return chutebatch.Job{
 		Request: message.GetRequest(), Pool: message.GetPool(), Stage: int(message.GetStage()), Parts: int(message.GetParts()),
