--- a/internal/chuteconn/exchange.go
+++ b/internal/chuteconn/exchange.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// maxForeign bounds the foreign responses that are dropped in front of the own one.
-	maxForeign = 2
-	// maxForeignBytes bounds what is read of a foreign response's body.
-	maxForeignBytes = 1 << 20
-	// inlineBody is the size up to which a body is written before reading begins.
+	// maxMismatched bounds the foreign responses that are dropped in front of the own one.
+	maxMismatched = 2
+	// maxMismatchedBytes bounds what is read of a foreign response's body.
+	maxMismatchedBytes = 1 << 20
+	// maxInlineBody is the size up to which a body is written before reading begins.
 	// Larger ones are written beside the reading, since an upstream may answer
 	// before it has taken in a long body, and wait for its answer to be read.
-	inlineBody = 2 << 10
+	maxInlineBody = 2 << 10
 )
 
 // Options are how one request is to be exchanged.
 type Options struct {
 	// Fresh asks for a connection that was not used before.
 	Fresh bool
-	// Own says whether a response belongs to the request; nil takes any.
-	Own func(h http.Header) bool
+	// Matches says whether a response belongs to the request; nil takes any.
+	Matches func(h http.Header) bool
 }
 
 // Error is a failed exchange.
@@ -55,15 +55,15 @@
 // Do sends the request and returns the response that is its own; the caller reads and closes its body.
 // When ctx ends the connection is closed, which is how an upstream learns that nobody waits.
 func (p *Pool) Do(ctx context.Context, address string, r *http.Request, o Options) (*http.Response, error) {
-	c, err := p.get(ctx, address, o.Fresh)
+	c, err := p.acquire(ctx, address, o.Fresh)
 	if err != nil {
 		return nil, &Error{Step: "dial", Peer: address, Unsent: true, Silent: isTimeout(err), Err: err}
 	}
 	x := &exchange{conn: c, request: r, options: o}
-	x.stop = context.AfterFunc(ctx, c.close)
+	x.detachContext = context.AfterFunc(ctx, c.close)
 	response, err := x.run()
 	if err != nil {
-		x.abort()
+		x.closeConn()
 
 		return nil, err
 	}
@@ -73,67 +73,67 @@
 
 // exchange is one request on one connection.
 type exchange struct {
-	conn    *conn
-	request *http.Request
-	options Options
-	stop    func() bool
-	// written is closed when the request is out, or can't be; writeErr says which.
-	written  chan struct{}
-	writeErr error
-	dirty    bool
-	once     sync.Once
+	conn          *conn
+	request       *http.Request
+	options       Options
+	detachContext func() bool
+	// writeDone is closed when the request is out, or can't be; writeErr says which.
+	writeDone   chan struct{}
+	writeErr    error
+	notReusable bool
+	endOnce     sync.Once
 }
 
 func (x *exchange) run() (*http.Response, error) {
-	x.written = make(chan struct{})
-	if x.request.ContentLength > inlineBody {
-		go x.write()
+	x.writeDone = make(chan struct{})
+	if x.request.ContentLength > maxInlineBody {
+		go x.writeRequest()
 	} else {
-		x.write()
+		x.writeRequest()
 	}
-	response, err := x.read()
+	response, err := x.readMatching()
 	if err != nil {
-		return nil, x.fail("read", err)
+		return nil, x.newError("read", err)
 	}
-	x.wrap(response)
+	x.wrapBody(response)
 
 	return response, nil
 }
 
-func (x *exchange) write() {
-	defer close(x.written)
+func (x *exchange) writeRequest() {
+	defer close(x.writeDone)
 	x.writeErr = x.request.Write(x.conn)
 }
 
-// fail makes an error of what ended the exchange; a request may have been seen as soon as it was begun.
-func (x *exchange) fail(step string, err error) *Error {
+// newError makes an error of what ended the exchange; a request may have been seen as soon as it was begun.
+func (x *exchange) newError(step string, err error) *Error {
 	return &Error{Step: step, Peer: x.conn.address, Silent: isTimeout(err), Err: err}
 }
 
-// read returns the first response that is the request's own.
-func (x *exchange) read() (*http.Response, error) {
-	for range maxForeign + 1 {
-		response, err := x.readFinal()
+// readMatching returns the first response that is the request's own.
+func (x *exchange) readMatching() (*http.Response, error) {
+	for range maxMismatched + 1 {
+		response, err := x.readFinalResponse()
 		if err != nil {
 			return nil, err
 		}
-		if x.options.Own == nil || x.options.Own(response.Header) {
+		if x.options.Matches == nil || x.options.Matches(response.Header) {
 			return response, nil
 		}
-		x.dirty = true
+		x.notReusable = true
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, errForeign
+			return nil, errNoMatch
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBytes)); err != nil {
 			return nil, err
 		}
 	}
 
-	return nil, errForeign
+	return nil, errNoMatch
 }
 
-// readFinal skips interim responses.
-func (x *exchange) readFinal() (*http.Response, error) {
+// readFinalResponse skips interim responses.
+func (x *exchange) readFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(x.conn.reader, x.request)
 		if err != nil {
@@ -145,24 +145,24 @@
 	}
 }
 
-// errForeign is the end of an exchange that met only responses to other requests.
-var errForeign = errors.New("the responses on this connection belong to other requests")
+// errNoMatch is the end of an exchange that met only responses to other requests.
+var errNoMatch = errors.New("the responses on this connection belong to other requests")
 
-// wrap makes the response's body give the connection back once it is read to its end.
-func (x *exchange) wrap(response *http.Response) {
-	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	if !framed || response.Close {
-		x.dirty = true
+// wrapBody makes the response's body give the connection back once it is read to its end.
+func (x *exchange) wrapBody(response *http.Response) {
+	isDelimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	if !isDelimited || response.Close {
+		x.notReusable = true
 	}
-	x.conn.life = keepAlive(response.Header)
-	response.Body = &body{ReadCloser: response.Body, exchange: x}
+	x.conn.idleLimit = idleLimitFrom(response.Header)
+	response.Body = &responseBody{ReadCloser: response.Body, exchange: x}
 	if response.ContentLength == 0 {
-		x.finish()
+		x.release()
 	}
 }
 
-// keepAlive returns how long the upstream says that it keeps an idle connection, less a margin.
-func keepAlive(h http.Header) time.Duration {
+// idleLimitFrom returns how long the upstream says that it keeps an idle connection, less a margin.
+func idleLimitFrom(h http.Header) time.Duration {
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		if !strings.EqualFold(name, "timeout") {
@@ -170,71 +170,71 @@
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
 			// A connection that closes just as a request goes out loses it.
-			return min(idleLife, time.Duration(seconds)*time.Second*3/4)
+			return min(maxIdleTime, time.Duration(seconds)*time.Second*3/4)
 		}
 	}
 
-	return idleLife
+	return maxIdleTime
 }
 
-// finish gives the connection back, or closes it if anything is left on it.
-func (x *exchange) finish() {
-	x.once.Do(func() {
-		stopped := x.stop()
-		if !stopped || x.dirty || !x.isWritten() || x.conn.reader.Buffered() > 0 {
+// release gives the connection back, or closes it if anything is left on it.
+func (x *exchange) release() {
+	x.endOnce.Do(func() {
+		detached := x.detachContext()
+		if !detached || x.notReusable || !x.isRequestWritten() || x.conn.reader.Buffered() > 0 {
 			x.conn.close()
 
 			return
 		}
-		x.conn.pool.put(x.conn)
+		x.conn.pool.putIdle(x.conn)
 	})
 }
 
-// isWritten says whether the whole request went out.
-func (x *exchange) isWritten() bool {
+// isRequestWritten says whether the whole request went out.
+func (x *exchange) isRequestWritten() bool {
 	select {
-	case <-x.written:
+	case <-x.writeDone:
 		return x.writeErr == nil
 	default:
 		return false
 	}
 }
 
-// abort closes the connection.
-func (x *exchange) abort() {
-	x.once.Do(func() {
-		x.stop()
+// closeConn closes the connection.
+func (x *exchange) closeConn() {
+	x.endOnce.Do(func() {
+		x.detachContext()
 		x.conn.close()
 	})
 }
 
-// body is a response's body that knows its exchange.
-type body struct {
+// responseBody is a response's body that knows its exchange.
+type responseBody struct {
 	io.ReadCloser
-	exchange *exchange
-	done     bool
+	exchange   *exchange
+	reachedEnd bool
 }
 
 // Read reads on; at the end of the body the connection is free again.
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
 	case err == io.EOF:
-		b.done = true
-		b.exchange.finish()
+		b.reachedEnd = true
+		b.exchange.release()
 	case err != nil:
-		b.exchange.abort()
+		b.exchange.closeConn()
 
-		return n, b.exchange.fail("body", err)
+		return n, b.exchange.newError("body", err)
 	}
 
 	return n, err
 }
 
 // Close ends the exchange; a body that was not read to its end takes the connection with it.
-func (b *body) Close() error {
-	if !b.done {
-		b.exchange.abort()
+func (b *responseBody) Close() error {
+	if !b.reachedEnd {
+		b.exchange.closeConn()
 	}
 
 	return nil
--- a/internal/chuteconn/exchange_test.go
+++ b/internal/chuteconn/exchange_test.go
@@ -28,7 +28,7 @@
 	conns   atomic.Int64
 }
 
-func listen(t testing.TB, serve func(n int64, conn net.Conn, r *bufio.Reader)) *upstream {
+func startUpstream(t testing.TB, serve func(n int64, conn net.Conn, r *bufio.Reader)) *upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -56,16 +56,16 @@
 	return u
 }
 
-// answering serves each request on a connection with the text that answer returns for its id.
-func answering(t testing.TB, answer func(id string) string) *upstream {
-	return listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+// startAnswering serves each request on a connection with the text that answer returns for its id.
+func startAnswering(t testing.TB, responseFor func(id string) string) *upstream {
+	return startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, request.Body)
-			if _, err := io.WriteString(conn, answer(request.Header.Get("Id"))); err != nil {
+			if _, err := io.WriteString(conn, responseFor(request.Header.Get("Id"))); err != nil {
 				return
 			}
 		}
@@ -88,7 +88,7 @@
 	return r
 }
 
-func own(id string) func(h http.Header) bool {
+func matchesID(id string) func(h http.Header) bool {
 	return func(h http.Header) bool { return h.Get("Id") == id }
 }
 
@@ -102,7 +102,7 @@
 // expectBody fails unless the exchange brings exactly this body.
 func expectBody(c *qt.C, p *Pool, u *upstream, id, want string) {
 	c.Helper()
-	r, err := p.Do(context.Background(), u.address, request(id, nil), Options{Own: own(id)})
+	r, err := p.Do(context.Background(), u.address, request(id, nil), Options{Matches: matchesID(id)})
 	c.Assert(err, qt.IsNil)
 	body, err := io.ReadAll(r.Body)
 	c.Assert(err, qt.IsNil)
@@ -128,7 +128,7 @@
 	t.Run("exchanges share a connection", func(t *testing.T) {
 		c := qt.New(t)
 		p := newPool(t)
-		u := answering(t, func(id string) string { return response(id, id) })
+		u := startAnswering(t, func(id string) string { return response(id, id) })
 		expectBody(c, p, u, "1", "1")
 		expectBody(c, p, u, "2", "2")
 		c.Assert(u.conns.Load(), qt.Equals, int64(1))
@@ -137,7 +137,7 @@
 	t.Run("path and query go out byte for byte", func(t *testing.T) {
 		c := qt.New(t)
 		uris := make(chan string, 1)
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			line, _ := r.ReadString('\n')
 			uris <- line
 			_, _ = io.WriteString(conn, response("1", ""))
@@ -151,13 +151,13 @@
 		// the upstream had read it.
 		c := qt.New(t)
 		p := newPool(t)
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			if request, err := http.ReadRequest(r); err == nil {
 				_, _ = io.WriteString(conn, response(request.Header.Get("Id"), ""))
 			}
 		})
 		expectBody(c, p, u, "1", "")
-		waitUntil(func() bool { return !p.idleClean(u.address) })
+		waitUntil(func() bool { return !p.isIdleReusable(u.address) })
 		expectBody(c, p, u, "2", "")
 		c.Assert(u.conns.Load(), qt.Equals, int64(2))
 	})
@@ -167,9 +167,9 @@
 		// request's, it would reach the wrong caller.
 		c := qt.New(t)
 		p := newPool(t)
-		u := answering(t, func(id string) string { return response(id, id) + response(id, "x") })
+		u := startAnswering(t, func(id string) string { return response(id, id) + response(id, "x") })
 		expectBody(c, p, u, "1", "1")
-		waitUntil(func() bool { return !p.idleClean(u.address) })
+		waitUntil(func() bool { return !p.isIdleReusable(u.address) })
 		expectBody(c, p, u, "2", "2")
 		c.Assert(u.conns.Load(), qt.Equals, int64(2))
 	})
@@ -182,22 +182,22 @@
 	}
 }
 
-// idleClean says whether the newest idle connection could be used.
-func (p *Pool) idleClean(address string) bool {
+// isIdleReusable says whether the newest idle connection could be used.
+func (p *Pool) isIdleReusable(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
+	idleConns := p.idle[address]
 
-	return len(kept) > 0 && kept[len(kept)-1].clean()
+	return len(idleConns) > 0 && idleConns[len(idleConns)-1].isReusable()
 }
 
-func TestForeignAnswers(t *testing.T) {
+func TestMismatchedResponses(t *testing.T) {
 	t.Run("an answer to another request is dropped and the own one read", func(t *testing.T) {
 		// The answer to a request that was given up arrives late, in front of the
 		// next one. The id tells them apart; the connection is not used again.
 		c := qt.New(t)
 		p := newPool(t)
-		u := answering(t, func(id string) string { return response("old", "theirs") + response(id, id) })
+		u := startAnswering(t, func(id string) string { return response("old", "theirs") + response(id, id) })
 		expectBody(c, p, u, "1", "1")
 		expectBody(c, p, u, "2", "2")
 		c.Assert(u.conns.Load(), qt.Equals, int64(2))
@@ -205,22 +205,22 @@
 
 	t.Run("where the own one never comes the exchange fails", func(t *testing.T) {
 		c := qt.New(t)
-		u := answering(t, func(string) string { return strings.Repeat(response("old", "x"), 9) })
-		failure := expectFailure(c, newPool(t), u, request("1", nil), Options{Own: own("1")})
+		u := startAnswering(t, func(string) string { return strings.Repeat(response("old", "x"), 9) })
+		failure := expectFailure(c, newPool(t), u, request("1", nil), Options{Matches: matchesID("1")})
 		c.Assert(failure.Unsent, qt.IsFalse)
 	})
 
 	t.Run("bytes that are no answer fail the exchange", func(t *testing.T) {
 		c := qt.New(t)
-		u := answering(t, func(string) string { return "\x00\x01garbage\r\n\r\n" })
+		u := startAnswering(t, func(string) string { return "\x00\x01garbage\r\n\r\n" })
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Step, qt.Equals, "read")
 	})
 }
 
-func TestCutAnswers(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	t.Run("a body that ends early is an error, not an end", func(t *testing.T) {
 		c := qt.New(t)
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf")
 		})
@@ -230,7 +230,7 @@
 
 	t.Run("so is a body without a length whose connection is reset", func(t *testing.T) {
 		c := qt.New(t)
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf")
 			_ = conn.(*net.TCPConn).SetLinger(0)
@@ -240,7 +240,7 @@
 
 	t.Run("one without a length that is closed properly is whole", func(t *testing.T) {
 		c := qt.New(t)
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nwhole")
 		})
@@ -253,7 +253,7 @@
 		c := qt.New(t)
 		p := newPool(t)
 		release := make(chan struct{})
-		u := listen(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = r.ReadString('\n')
 			_, _ = io.WriteString(conn, response("1", ""))
 			<-release
@@ -267,7 +267,7 @@
 	})
 }
 
-func TestEvidence(t *testing.T) {
+func TestErrorDetails(t *testing.T) {
 	t.Run("where no connection comes about nothing was sent", func(t *testing.T) {
 		c := qt.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -279,7 +279,7 @@
 
 	t.Run("once a connection stands the request may have been read", func(t *testing.T) {
 		c := qt.New(t)
-		u := listen(t, func(_ int64, _ net.Conn, r *bufio.Reader) { _, _ = r.ReadString('\n') })
+		u := startUpstream(t, func(_ int64, _ net.Conn, r *bufio.Reader) { _, _ = r.ReadString('\n') })
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Unsent, qt.IsFalse)
 	})
 
@@ -296,7 +296,7 @@
 	t.Run("cancelling closes the connection, so that the upstream can stop", func(t *testing.T) {
 		c := qt.New(t)
 		closed := make(chan struct{})
-		u := listen(t, func(_ int64, _ net.Conn, r *bufio.Reader) {
+		u := startUpstream(t, func(_ int64, _ net.Conn, r *bufio.Reader) {
 			_, _ = io.Copy(io.Discard, r)
 			close(closed)
 		})
--- a/internal/chuteconn/pool.go
+++ b/internal/chuteconn/pool.go
@@ -15,21 +15,21 @@
 	// dialTimeout bounds a new connection: several round trips inside a region, and
 	// short against the aims of callers, who wait for it when an upstream is gone.
 	dialTimeout = 350 * time.Millisecond
-	// idleLife is how long a connection is kept without use; upstreams that close
+	// maxIdleTime is how long a connection is kept without use; upstreams that close
 	// sooner say so in their responses.
-	idleLife = 8 * time.Second
-	// maxIdle bounds the kept connections to one address.
-	maxIdle = 32
-	// unackedLife is how long sent bytes may stay without acknowledgement, and
+	maxIdleTime = 8 * time.Second
+	// maxIdlePerAddress bounds the kept connections to one address.
+	maxIdlePerAddress = 32
+	// unackedTimeout is how long sent bytes may stay without acknowledgement, and
 	// probeIdle, probeGap and probeCount how a silent peer is found out when nothing
 	// is on its way: a host that vanished or a connection that something between
 	// the ends has lost track of shows after 3 s in place of hours.
-	unackedLife = 2 * time.Second
-	probeIdle   = time.Second
-	probeGap    = time.Second
-	probeCount  = 2
-	// bufferSize holds a usual response head.
-	bufferSize = 4 << 10
+	unackedTimeout    = 2 * time.Second
+	keepaliveIdle     = time.Second
+	keepaliveInterval = time.Second
+	keepaliveCount    = 2
+	// readBufferSize holds a usual response head.
+	readBufferSize = 4 << 10
 )
 
 // Pool keeps connections to upstreams by address.
@@ -49,10 +49,10 @@
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// usedAt is when the connection became idle, life how long it may stay so.
-	usedAt time.Time
-	life   time.Duration
-	reused bool
+	// idleSince is when the connection became idle, life how long it may stay so.
+	idleSince time.Time
+	idleLimit time.Duration
+	reused    bool
 }
 
 // NewPool returns an empty pool.
@@ -60,35 +60,35 @@
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeIdle, Interval: probeGap, Count: probeCount,
+			Enable: true, Idle: keepaliveIdle, Interval: keepaliveInterval, Count: keepaliveCount,
 		},
-		Control: boundUnacknowledged,
+		Control: setUnackedTimeout,
 	}
 
 	return &Pool{Dial: dialer.DialContext, Now: now, idle: map[string][]*conn{}}
 }
 
-// boundUnacknowledged makes the kernel give a connection up whose bytes are not acknowledged.
-func boundUnacknowledged(_, _ string, raw syscall.RawConn) error {
-	var failure error
+// setUnackedTimeout makes the kernel give a connection up whose bytes are not acknowledged.
+func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedLife.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
 
-	return failure
+	return optionErr
 }
 
-// get returns a kept connection, or opens one.
-func (p *Pool) get(ctx context.Context, address string, fresh bool) (*conn, error) {
+// acquire returns a kept connection, or opens one.
+func (p *Pool) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for !fresh {
-		c := p.take(address)
+		c := p.popIdle(address)
 		if c == nil {
 			break
 		}
-		if c.clean() {
+		if c.isReusable() {
 			c.reused = true
 
 			return c, nil
@@ -101,26 +101,26 @@
 	}
 
 	return &conn{
-		Conn: opened, pool: p, address: address, life: idleLife,
-		reader: bufio.NewReaderSize(opened, bufferSize),
+		Conn: opened, pool: p, address: address, idleLimit: maxIdleTime,
+		reader: bufio.NewReaderSize(opened, readBufferSize),
 	}, nil
 }
 
-// take removes the connection that was used last, and drops those that are too old.
-func (p *Pool) take(address string) *conn {
+// popIdle removes the connection that was used last, and drops those that are too old.
+func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idleConns := p.idle[address]
+	if len(idleConns) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
-	if p.Now().Sub(c.usedAt) >= c.life {
+	c := idleConns[len(idleConns)-1]
+	p.idle[address] = idleConns[:len(idleConns)-1]
+	if p.Now().Sub(c.idleSince) >= c.idleLimit {
 		// The others were used even longer ago.
-		for _, old := range kept {
-			old.close()
+		for _, expired := range idleConns {
+			expired.close()
 		}
 		delete(p.idle, address)
 
@@ -130,23 +130,23 @@
 	return c
 }
 
-// put keeps a connection for the next exchange.
-func (p *Pool) put(c *conn) {
+// putIdle keeps a connection for the next exchange.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	if len(p.idle[c.address]) >= maxIdle {
+	if len(p.idle[c.address]) >= maxIdlePerAddress {
 		c.close()
 
 		return
 	}
-	c.usedAt = p.Now()
+	c.idleSince = p.Now()
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address, for instance after one of
+// CloseIdle closes the idle connections to an address, for instance after one of
 // them went silent: what lost track of one may have lost track of all.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
@@ -156,25 +156,25 @@
 	delete(p.idle, address)
 }
 
-// Trim closes the connections that were idle for too long.
-func (p *Pool) Trim() {
+// CloseExpired closes the connections that were idle for too long.
+func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
 	now := p.Now()
-	for address, kept := range p.idle {
-		var young []*conn
-		for _, c := range kept {
-			if now.Sub(c.usedAt) < c.life {
-				young = append(young, c)
+	for address, idleConns := range p.idle {
+		var unexpired []*conn
+		for _, c := range idleConns {
+			if now.Sub(c.idleSince) < c.idleLimit {
+				unexpired = append(unexpired, c)
 			} else {
 				c.close()
 			}
 		}
-		if len(young) == 0 {
+		if len(unexpired) == 0 {
 			delete(p.idle, address)
 		} else {
-			p.idle[address] = young
+			p.idle[address] = unexpired
 		}
 	}
 }
@@ -184,40 +184,40 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 
-	for address, kept := range p.idle {
-		for _, c := range kept {
+	for address, idleConns := range p.idle {
+		for _, c := range idleConns {
 			c.close()
 		}
 		delete(p.idle, address)
 	}
 }
 
-// clean says whether an idle connection is still open and has brought nothing unasked.
+// isReusable says whether an idle connection is still open and has brought nothing unasked.
 //
 // Bytes that arrive while no response is due belong to no request; taken as the
 // next response's beginning they would reach the wrong caller.
-func (c *conn) clean() bool {
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
-	sc, ok := c.Conn.(syscall.Conn)
+	syscallConn, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	isOpenAndEmpty := false
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, failure := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = failure == unix.EAGAIN
+		var buffer [1]byte
+		_, _, recvErr := unix.Recvfrom(int(fd), buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		isOpenAndEmpty = recvErr == unix.EAGAIN
 
 		return true
 	})
 
-	return err == nil && quiet
+	return err == nil && isOpenAndEmpty
 }
 
 // close ends the connection; an error on the way out changes nothing for anyone.
