--- a/internal/chuteconn/doc.go
+++ b/internal/chuteconn/doc.go
@@ -1,16 +1,14 @@
-// Package chuteconn exchanges HTTP/1.1 requests and responses with upstreams
-// over connections that it keeps, and says of each failure whether the upstream
-// can have seen the request.
+// Package chuteconn exchanges HTTP/1.1 requests and responses with upstreams over pooled
+// connections, and reports for each failure whether the upstream can have seen the request.
 //
-// net/http's own client would do but for three things that callers depend on
-// here. It sends some requests again by itself, it hands out whatever response
-// comes first on a connection, and it does not tell whether a byte went out.
-// Messages are written and parsed by net/http all the same.
+// It replaces the client of net/http because that client resends some requests by itself,
+// accepts any response that comes first on a connection, and does not report whether a byte
+// was sent. Messages are still written and parsed by net/http.
 //
-// # Whose response
+// # Matching of responses
 //
-// A response that arrived unasked, or late after its request was given up, stands
-// in front of the next one. Each response is asked whether it is the request's
-// own; a foreign one is dropped, the next one read, and the connection is not
-// used again. A connection with unread bytes is never used again either.
+// An unsolicited response, or one that arrives late after its request was cancelled, precedes
+// the response to the next request. The caller therefore checks whether each response belongs
+// to its request. A mismatched response is dropped, the next one is read, and the connection is
+// not reused. A connection with unread bytes is never reused either.
 package chuteconn
--- a/internal/chuteconn/exchange.go
+++ b/internal/chuteconn/exchange.go
@@ -12,37 +12,41 @@
 )
 
 const (
-	// maxMismatched bounds the foreign responses that are dropped in front of the own one.
+	// maxMismatched bounds the mismatched responses that are dropped before the matching one.
 	maxMismatched = 2
-	// maxMismatchedBytes bounds what is read of a foreign response's body.
+	// maxMismatchedBytes bounds how much of the body of a mismatched response is read.
 	maxMismatchedBytes = 1 << 20
-	// maxInlineBody is the size up to which a body is written before reading begins.
-	// Larger ones are written beside the reading, since an upstream may answer
-	// before it has taken in a long body, and wait for its answer to be read.
+	// maxInlineBody is the size in bytes up to which a body is written before the response is
+	// read. Larger bodies are written concurrently, because an upstream may respond before it
+	// has read a long body, and then wait until its response is read.
 	maxInlineBody = 2 << 10
 )
 
-// Options are how one request is to be exchanged.
+// Options sets how one request is exchanged.
 type Options struct {
-	// Fresh asks for a connection that was not used before.
+	// Fresh asks for a new connection.
 	Fresh bool
-	// Matches says whether a response belongs to the request; nil takes any.
+	// Matches reports whether the response with these headers belongs to the request; nil
+	// accepts any response.
 	Matches func(h http.Header) bool
 }
 
-// Error is a failed exchange.
+// Error describes a failed exchange.
 type Error struct {
-	// Step is where it failed: "dial", "write", "read" or "body".
+	// Step is the step that failed: "dial", "write", "read" or "body".
 	Step string
+	// Peer is the address of the upstream.
 	Peer string
 	// Unsent is true only if no byte of the request can have reached the upstream.
 	Unsent bool
-	// Silent says that there was no sign of life, rather than a sign of an end.
+	// Silent says that the upstream did not respond in time, as opposed to a refused, closed or
+	// reset connection.
 	Silent bool
-	Err    error
+	// Err is the cause.
+	Err error
 }
 
-// Error describes the failure with its step and peer.
+// Error returns the step, the peer and the text of the cause.
 func (e *Error) Error() string {
 	return e.Step + " " + e.Peer + ": " + e.Err.Error()
 }
@@ -52,8 +56,9 @@
 	return e.Err
 }
 
-// Do sends the request and returns the response that is its own; the caller reads and closes its body.
-// When ctx ends the connection is closed, which is how an upstream learns that nobody waits.
+// Do sends the request and returns the response that matches it. The caller must read and close
+// its body. When ctx ends, the connection is closed, so that the upstream can stop. Errors are of
+// type *Error, also those from reading the body.
 func (p *Pool) Do(ctx context.Context, address string, r *http.Request, o Options) (*http.Response, error) {
 	c, err := p.acquire(ctx, address, o.Fresh)
 	if err != nil {
@@ -73,17 +78,21 @@
 
 // exchange is one request on one connection.
 type exchange struct {
-	conn          *conn
-	request       *http.Request
-	options       Options
+	conn    *conn
+	request *http.Request
+	options Options
+	// detachContext keeps the end of the context from closing the connection; it returns
+	// false if the context has ended.
 	detachContext func() bool
-	// writeDone is closed when the request is out, or can't be; writeErr says which.
-	writeDone   chan struct{}
-	writeErr    error
+	// writeDone is closed when writing has ended; writeErr is nil if the whole request was written.
+	writeDone chan struct{}
+	writeErr  error
+	// notReusable says that the connection is closed at the end of the exchange.
 	notReusable bool
 	endOnce     sync.Once
 }
 
+// run writes the request and returns the response that matches it.
 func (x *exchange) run() (*http.Response, error) {
 	x.writeDone = make(chan struct{})
 	if x.request.ContentLength > maxInlineBody {
@@ -100,17 +109,19 @@
 	return response, nil
 }
 
+// writeRequest writes the whole request and records the result.
 func (x *exchange) writeRequest() {
 	defer close(x.writeDone)
 	x.writeErr = x.request.Write(x.conn)
 }
 
-// newError makes an error of what ended the exchange; a request may have been seen as soon as it was begun.
+// newError returns the error of an exchange on an open connection. Its Unsent is false, because
+// the upstream may have seen a request as soon as writing has begun.
 func (x *exchange) newError(step string, err error) *Error {
 	return &Error{Step: step, Peer: x.conn.address, Silent: isTimeout(err), Err: err}
 }
 
-// readMatching returns the first response that is the request's own.
+// readMatching returns the first response that matches the request.
 func (x *exchange) readMatching() (*http.Response, error) {
 	for range maxMismatched + 1 {
 		response, err := x.readFinalResponse()
@@ -132,7 +143,7 @@
 	return nil, errNoMatch
 }
 
-// readFinalResponse skips interim responses.
+// readFinalResponse reads the next response and skips interim (1xx) responses.
 func (x *exchange) readFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(x.conn.reader, x.request)
@@ -145,10 +156,11 @@
 	}
 }
 
-// errNoMatch is the end of an exchange that met only responses to other requests.
+// errNoMatch ends an exchange that received only responses to other requests.
 var errNoMatch = errors.New("the responses on this connection belong to other requests")
 
-// wrapBody makes the response's body give the connection back once it is read to its end.
+// wrapBody wraps the response's body so that the connection returns to the pool once the body is
+// read to its end.
 func (x *exchange) wrapBody(response *http.Response) {
 	isDelimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	if !isDelimited || response.Close {
@@ -161,7 +173,8 @@
 	}
 }
 
-// idleLimitFrom returns how long the upstream says that it keeps an idle connection, less a margin.
+// idleLimitFrom returns how long a connection may stay idle: three quarters of the time that the
+// upstream announces in Keep-Alive, and at most maxIdleTime.
 func idleLimitFrom(h http.Header) time.Duration {
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
@@ -169,7 +182,7 @@
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			// A connection that closes just as a request goes out loses it.
+			// A request that is sent just as the upstream closes the connection is lost.
 			return min(maxIdleTime, time.Duration(seconds)*time.Second*3/4)
 		}
 	}
@@ -177,7 +190,8 @@
 	return maxIdleTime
 }
 
-// release gives the connection back, or closes it if anything is left on it.
+// release returns the connection to the pool. It closes the connection instead if it is not
+// reusable, the context has ended, the request is not fully written, or unread bytes are left.
 func (x *exchange) release() {
 	x.endOnce.Do(func() {
 		detached := x.detachContext()
@@ -190,7 +204,7 @@
 	})
 }
 
-// isRequestWritten says whether the whole request went out.
+// isRequestWritten reports whether the whole request was written.
 func (x *exchange) isRequestWritten() bool {
 	select {
 	case <-x.writeDone:
@@ -200,7 +214,7 @@
 	}
 }
 
-// closeConn closes the connection.
+// closeConn ends the exchange and closes its connection.
 func (x *exchange) closeConn() {
 	x.endOnce.Do(func() {
 		x.detachContext()
@@ -208,14 +222,15 @@
 	})
 }
 
-// responseBody is a response's body that knows its exchange.
+// responseBody is the body of a response; it ends the exchange when it is read to its end or closed.
 type responseBody struct {
 	io.ReadCloser
 	exchange   *exchange
 	reachedEnd bool
 }
 
-// Read reads on; at the end of the body the connection is free again.
+// Read reads from the body. At the end of the body the exchange releases the connection; other
+// errors close it and are of type *Error.
 func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
@@ -231,7 +246,7 @@
 	return n, err
 }
 
-// Close ends the exchange; a body that was not read to its end takes the connection with it.
+// Close ends the exchange; it closes the connection if the body was not read to its end.
 func (b *responseBody) Close() error {
 	if !b.reachedEnd {
 		b.exchange.closeConn()
@@ -240,7 +255,7 @@
 	return nil
 }
 
-// isTimeout says whether an error is the lack of any sign of life.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 
--- a/internal/chuteconn/exchange_test.go
+++ b/internal/chuteconn/exchange_test.go
@@ -22,12 +22,13 @@
 	goleak.VerifyTestMain(m)
 }
 
-// upstream is a listener that hands each connection, with its number from 1, to a function.
+// upstream is a listener that counts its connections.
 type upstream struct {
 	address string
 	conns   atomic.Int64
 }
 
+// startUpstream starts an upstream that calls serve for each connection, with n counting from 1.
 func startUpstream(t testing.TB, serve func(n int64, conn net.Conn, r *bufio.Reader)) *upstream {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +57,7 @@
 	return u
 }
 
-// startAnswering serves each request on a connection with the text that answer returns for its id.
+// startAnswering starts an upstream that sends the text responseFor returns for each request's id.
 func startAnswering(t testing.TB, responseFor func(id string) string) *upstream {
 	return startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 		for {
@@ -72,6 +73,7 @@
 	})
 }
 
+// response returns the text of a response; its body has at most nine bytes.
 func response(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
@@ -99,7 +101,7 @@
 	return p
 }
 
-// expectBody fails unless the exchange brings exactly this body.
+// expectBody fails the test unless the exchange returns exactly this body.
 func expectBody(c *qt.C, p *Pool, u *upstream, id, want string) {
 	c.Helper()
 	r, err := p.Do(context.Background(), u.address, request(id, nil), Options{Matches: matchesID(id)})
@@ -110,7 +112,7 @@
 	c.Assert(string(body), qt.Equals, want)
 }
 
-// expectFailure fails unless the exchange fails, and returns how.
+// expectFailure fails the test unless the exchange fails, and returns its error.
 func expectFailure(c *qt.C, p *Pool, u *upstream, r *http.Request, o Options) *Error {
 	c.Helper()
 	response, err := p.Do(context.Background(), u.address, r, o)
@@ -134,7 +136,7 @@
 		c.Assert(u.conns.Load(), qt.Equals, int64(1))
 	})
 
-	t.Run("path and query go out byte for byte", func(t *testing.T) {
+	t.Run("path and query are sent byte for byte", func(t *testing.T) {
 		c := qt.New(t)
 		uris := make(chan string, 1)
 		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
@@ -146,9 +148,9 @@
 		c.Assert(<-uris, qt.Equals, "POST /a//b?x=%2f HTTP/1.1\r\n")
 	})
 
-	t.Run("one that the upstream closed meanwhile is not used", func(t *testing.T) {
-		// Used all the same, it would lose the request, and nobody could say whether
-		// the upstream had read it.
+	t.Run("a connection that the upstream has closed is not reused", func(t *testing.T) {
+		// A request sent on it would be lost, and it would be unknown whether the upstream
+		// had read it.
 		c := qt.New(t)
 		p := newPool(t)
 		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
@@ -162,9 +164,9 @@
 		c.Assert(u.conns.Load(), qt.Equals, int64(2))
 	})
 
-	t.Run("one with bytes that nobody asked for is not used", func(t *testing.T) {
-		// An upstream sends a second answer behind the first. Taken for the next
-		// request's, it would reach the wrong caller.
+	t.Run("a connection with unsolicited bytes is not reused", func(t *testing.T) {
+		// An upstream sends a second response after the first. Read as the response to the
+		// next request, it would reach the wrong caller.
 		c := qt.New(t)
 		p := newPool(t)
 		u := startAnswering(t, func(id string) string { return response(id, id) + response(id, "x") })
@@ -175,14 +177,14 @@
 	})
 }
 
-// waitUntil polls a state that another process, here the kernel, brings about.
+// waitUntil polls until done returns true, for states that the kernel or another goroutine sets.
 func waitUntil(done func() bool) {
 	for !done() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// isIdleReusable says whether the newest idle connection could be used.
+// isIdleReusable reports whether the most recently used idle connection is reusable.
 func (p *Pool) isIdleReusable(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,9 +194,9 @@
 }
 
 func TestMismatchedResponses(t *testing.T) {
-	t.Run("an answer to another request is dropped and the own one read", func(t *testing.T) {
-		// The answer to a request that was given up arrives late, in front of the
-		// next one. The id tells them apart; the connection is not used again.
+	t.Run("a response to another request is dropped and the matching one is read", func(t *testing.T) {
+		// The response to a cancelled request arrives late, before the next one. The id
+		// distinguishes them; the connection is not reused.
 		c := qt.New(t)
 		p := newPool(t)
 		u := startAnswering(t, func(id string) string { return response("old", "theirs") + response(id, id) })
@@ -203,14 +205,14 @@
 		c.Assert(u.conns.Load(), qt.Equals, int64(2))
 	})
 
-	t.Run("where the own one never comes the exchange fails", func(t *testing.T) {
+	t.Run("the exchange fails if no matching response arrives", func(t *testing.T) {
 		c := qt.New(t)
 		u := startAnswering(t, func(string) string { return strings.Repeat(response("old", "x"), 9) })
 		failure := expectFailure(c, newPool(t), u, request("1", nil), Options{Matches: matchesID("1")})
 		c.Assert(failure.Unsent, qt.IsFalse)
 	})
 
-	t.Run("bytes that are no answer fail the exchange", func(t *testing.T) {
+	t.Run("bytes that are not a response fail the exchange", func(t *testing.T) {
 		c := qt.New(t)
 		u := startAnswering(t, func(string) string { return "\x00\x01garbage\r\n\r\n" })
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Step, qt.Equals, "read")
@@ -218,7 +220,7 @@
 }
 
 func TestTruncatedResponses(t *testing.T) {
-	t.Run("a body that ends early is an error, not an end", func(t *testing.T) {
+	t.Run("a body that ends early is an error", func(t *testing.T) {
 		c := qt.New(t)
 		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
@@ -228,7 +230,7 @@
 		c.Assert(failure.Step, qt.Equals, "body")
 	})
 
-	t.Run("so is a body without a length whose connection is reset", func(t *testing.T) {
+	t.Run("a body without a length whose connection is reset is an error", func(t *testing.T) {
 		c := qt.New(t)
 		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
@@ -238,7 +240,7 @@
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Step, qt.Equals, "body")
 	})
 
-	t.Run("one without a length that is closed properly is whole", func(t *testing.T) {
+	t.Run("a body without a length whose connection is closed is complete", func(t *testing.T) {
 		c := qt.New(t)
 		u := startUpstream(t, func(_ int64, conn net.Conn, r *bufio.Reader) {
 			_, _ = http.ReadRequest(r)
@@ -247,9 +249,9 @@
 		expectBody(c, newPool(t), u, "1", "whole")
 	})
 
-	t.Run("an answer ahead of the end of a long body leaves the connection unused", func(t *testing.T) {
-		// The upstream refuses a long request after its head and does not read on. Kept,
-		// the connection would bring the rest of this body in front of the next request.
+	t.Run("a response before the end of a long request body closes the connection", func(t *testing.T) {
+		// The upstream rejects a long request after its head and stops reading. If the
+		// connection were reused, the rest of this body would precede the next request.
 		c := qt.New(t)
 		p := newPool(t)
 		release := make(chan struct{})
@@ -268,7 +270,7 @@
 }
 
 func TestErrorDetails(t *testing.T) {
-	t.Run("where no connection comes about nothing was sent", func(t *testing.T) {
+	t.Run("a refused connection means that nothing was sent", func(t *testing.T) {
 		c := qt.New(t)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
@@ -277,14 +279,14 @@
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Unsent, qt.IsTrue)
 	})
 
-	t.Run("once a connection stands the request may have been read", func(t *testing.T) {
+	t.Run("on an open connection the request may have been read", func(t *testing.T) {
 		c := qt.New(t)
 		u := startUpstream(t, func(_ int64, _ net.Conn, r *bufio.Reader) { _, _ = r.ReadString('\n') })
 		c.Assert(expectFailure(c, newPool(t), u, request("1", nil), Options{}).Unsent, qt.IsFalse)
 	})
 
-	t.Run("silence is told from an end", func(t *testing.T) {
-		// A host that vanished answers no connection attempt; one that ended refuses it.
+	t.Run("a timeout is distinguished from a refused connection", func(t *testing.T) {
+		// A vanished host does not answer a connection attempt; a stopped process's host refuses it.
 		c := qt.New(t)
 		p := newPool(t)
 		p.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, context.DeadlineExceeded }
@@ -293,7 +295,7 @@
 		c.Assert(failure.Unsent, qt.IsTrue)
 	})
 
-	t.Run("cancelling closes the connection, so that the upstream can stop", func(t *testing.T) {
+	t.Run("cancellation closes the connection, so that the upstream can stop", func(t *testing.T) {
 		c := qt.New(t)
 		closed := make(chan struct{})
 		u := startUpstream(t, func(_ int64, _ net.Conn, r *bufio.Reader) {
--- a/internal/chuteconn/pool.go
+++ b/internal/chuteconn/pool.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// dialTimeout bounds a new connection: several round trips inside a region, and
-	// short against the aims of callers, who wait for it when an upstream is gone.
+	// dialTimeout bounds the opening of a connection. It covers several round trips inside a
+	// region and is short against the target times of callers, who wait for it when an
+	// upstream is gone.
 	dialTimeout = 350 * time.Millisecond
-	// maxIdleTime is how long a connection is kept without use; upstreams that close
-	// sooner say so in their responses.
+	// maxIdleTime is how long an idle connection is kept; upstreams that close idle connections
+	// sooner announce that in their responses.
 	maxIdleTime = 8 * time.Second
-	// maxIdlePerAddress bounds the kept connections to one address.
+	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 32
-	// unackedTimeout is how long sent bytes may stay without acknowledgement, and
-	// probeIdle, probeGap and probeCount how a silent peer is found out when nothing
-	// is on its way: a host that vanished or a connection that something between
-	// the ends has lost track of shows after 3 s in place of hours.
+	// unackedTimeout is how long sent bytes may stay unacknowledged. keepaliveIdle,
+	// keepaliveInterval and keepaliveCount set the TCP keepalive, which detects a silent peer
+	// when no bytes are in flight. A vanished host, or a connection whose state a device on the
+	// path has lost, is detected after 3 s instead of hours.
 	unackedTimeout    = 2 * time.Second
 	keepaliveIdle     = time.Second
 	keepaliveInterval = time.Second
 	keepaliveCount    = 2
-	// readBufferSize holds a usual response head.
+	// readBufferSize is in bytes and suffices for a usual response head.
 	readBufferSize = 4 << 10
 )
 
 // Pool keeps connections to upstreams by address.
 type Pool struct {
-	// Dial opens connections; it may be replaced before the first use.
+	// Dial opens connections; it may be replaced before the pool is first used.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Now tells the time by which idle connections age.
+	// Now returns the time that the idle time of connections is computed from.
 	Now func() time.Time
 
 	mu   sync.Mutex
@@ -49,13 +50,13 @@
 	pool    *Pool
 	address string
 	reader  *bufio.Reader
-	// idleSince is when the connection became idle, life how long it may stay so.
+	// idleSince is when the connection became idle, idleLimit how long it may stay idle.
 	idleSince time.Time
 	idleLimit time.Duration
 	reused    bool
 }
 
-// NewPool returns an empty pool.
+// NewPool returns an empty pool that dials TCP; now returns the current time.
 func NewPool(now func() time.Time) *Pool {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -68,7 +69,7 @@
 	return &Pool{Dial: dialer.DialContext, Now: now, idle: map[string][]*conn{}}
 }
 
-// setUnackedTimeout makes the kernel give a connection up whose bytes are not acknowledged.
+// setUnackedTimeout makes the kernel close a connection whose sent bytes stay unacknowledged.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
 	var optionErr error
 	err := raw.Control(func(fd uintptr) {
@@ -81,7 +82,7 @@
 	return optionErr
 }
 
-// acquire returns a kept connection, or opens one.
+// acquire returns an idle connection or opens a new one; fresh asks for a new one.
 func (p *Pool) acquire(ctx context.Context, address string, fresh bool) (*conn, error) {
 	for !fresh {
 		c := p.popIdle(address)
@@ -106,7 +107,8 @@
 	}, nil
 }
 
-// popIdle removes the connection that was used last, and drops those that are too old.
+// popIdle removes and returns the most recently used idle connection of an address. It returns nil
+// if there is none or if that connection has expired.
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +120,7 @@
 	c := idleConns[len(idleConns)-1]
 	p.idle[address] = idleConns[:len(idleConns)-1]
 	if p.Now().Sub(c.idleSince) >= c.idleLimit {
-		// The others were used even longer ago.
+		// All others have been idle for longer.
 		for _, expired := range idleConns {
 			expired.close()
 		}
@@ -130,7 +132,7 @@
 	return c
 }
 
-// putIdle keeps a connection for the next exchange.
+// putIdle keeps a connection for the next exchange, or closes it if the address has enough.
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,8 +146,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// CloseIdle closes the idle connections to an address, for instance after one of
-// them went silent: what lost track of one may have lost track of all.
+// CloseIdle closes the idle connections to an address, for instance after one of them went
+// silent: a device that has lost the state of one connection may have lost that of all.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -156,7 +158,7 @@
 	delete(p.idle, address)
 }
 
-// CloseExpired closes the connections that were idle for too long.
+// CloseExpired closes the connections that have been idle for their limit or longer.
 func (p *Pool) CloseExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,10 +194,10 @@
 	}
 }
 
-// isReusable says whether an idle connection is still open and has brought nothing unasked.
+// isReusable reports whether an idle connection is still open and has no unread bytes.
 //
-// Bytes that arrive while no response is due belong to no request; taken as the
-// next response's beginning they would reach the wrong caller.
+// Bytes that arrive while no response is due belong to no request. Read as the start of the
+// next response, they would reach the wrong caller.
 func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -220,7 +222,7 @@
 	return err == nil && isOpenAndEmpty
 }
 
-// close ends the connection; an error on the way out changes nothing for anyone.
+// close closes the connection; its error is ignored because no caller could act on it.
 func (c *conn) close() {
 	_ = c.Close()
 }
