--- a/internal/chuteshare/tables.go
+++ b/internal/chuteshare/tables.go
@@ -139,7 +139,7 @@
 // lacks, and keepFollowing after each message of the source.
 func (c *Client) FollowTable(
 	ctx context.Context, address, table string, known chutefeed.Table, keepaliveInterval time.Duration,
-	applyChange func(chutefeed.Change), keepFollowing func(status TableStatus) bool,
+	applyChange func(chutefeed.Change), keepFollowing func(tableStatus TableStatus) bool,
 ) error {
 	conn, err := c.connTo(address)
 	if err != nil {
