--- a/internal/chuteconn/exchange.go
+++ b/internal/chuteconn/exchange.go
@@ -12,37 +12,41 @@
 )
 
 const (
-	// maxForeign bounds the foreign responses that are dropped in front of the own one.
-	maxForeign = 2
-	// maxForeignBytes bounds what is read of a foreign response's body.
-	maxForeignBytes = 1 << 20
-	// inlineBody is the size up to which a body is written before reading begins.
-	// Larger ones are written beside the reading, since an upstream may answer
-	// before it has taken in a long body, and wait for its answer to be read.
-	inlineBody = 2 << 10
+	// maxMismatched bounds the mismatched responses that are dropped before the matching one.
+	maxMismatched = 2
+	// maxMismatchedBytes bounds how much of the body of a mismatched response is read.
+	maxMismatchedBytes = 1 << 20
+	// maxInlineBody is the size in bytes up to which a body is written before the response is
+	// read. Larger bodies are written concurrently, because an upstream may respond before it
+	// has read a long body, and then wait until its response is read.
+	maxInlineBody = 2 << 10
 )
 
-// Options are how one request is to be exchanged.
+// Options sets how one request is exchanged.
 type Options struct {
-	// Fresh asks for a connection that was not used before.
+	// Fresh asks for a new connection.
 	Fresh bool
-	// Own says whether a response belongs to the request; nil takes any.
-	Own func(h http.Header) bool
+	// Matches reports whether the response with these headers belongs to the request; nil
+	// accepts any response.
+	Matches func(h http.Header) bool
 }
 
-// Error is a failed exchange.
+// Error describes a failed exchange.
 type Error struct {
-	// Step is where it failed: "dial", "write", "read" or "body".
+	// Step is the step that failed: "dial", "write", "read" or "body".
 	Step string
+	// Peer is the address of the upstream.
 	Peer string
 	// Unsent is true only if no byte of the request can have reached the upstream.
 	Unsent bool
-	// Silent says that there was no sign of life, rather than a sign of an end.
+	// Silent says that the upstream did not respond in time, as opposed to a refused, closed or
+	// reset connection.
 	Silent bool
-	Err    error
+	// Err is the cause.
+	Err error
 }
 
-// Error describes the failure with its step and peer.
+// Error returns the step, the peer and the text of the cause.
 func (e *Error) Error() string {
 	return e.Step + " " + e.Peer + ": " + e.Err.Error()
 }
@@ -52,18 +56,19 @@
 	return e.Err
 }
 
-// Do sends the request and returns the response that is its own; the caller reads and closes its body.
-// When ctx ends the connection is closed, which is how an upstream learns that nobody waits.
+// Do sends the request and returns the response that matches it. The caller must read and close
+// its body. When ctx ends, the connection is closed, so that the upstream can stop. Errors are of
+// type *Error, also those from reading the body.
 func (p *Pool) Do(ctx context.Context, address string, r *http.Request, o Options) (*http.Response, error) {
-	c, err := p.get(ctx, address, o.Fresh)
+	c, err := p.acquire(ctx, address, o.Fresh)
 	if err != nil {
 		return nil, &Error{Step: "dial", Peer: address, Unsent: true, Silent: isTimeout(err), Err: err}
 	}
 	x := &exchange{conn: c, request: r, options: o}
-	x.stop = context.AfterFunc(ctx, c.close)
+	x.detachContext = context.AfterFunc(ctx, c.close)
 	response, err := x.run()
 	if err != nil {
-		x.abort()
+		x.closeConn()
 
 		return nil, err
 	}
@@ -76,64 +81,70 @@
 	conn    *conn
 	request *http.Request
 	options Options
-	stop    func() bool
-	// written is closed when the request is out, or can't be; writeErr says which.
-	written  chan struct{}
-	writeErr error
-	dirty    bool
-	once     sync.Once
+	// detachContext keeps the end of the context from closing the connection; it returns
+	// false if the context has ended.
+	detachContext func() bool
+	// writeDone is closed when writing has ended; writeErr is nil if the whole request was written.
+	writeDone chan struct{}
+	writeErr  error
+	// notReusable says that the connection is closed at the end of the exchange.
+	notReusable bool
+	endOnce     sync.Once
 }
 
+// run writes the request and returns the response that matches it.
 func (x *exchange) run() (*http.Response, error) {
-	x.written = make(chan struct{})
-	if x.request.ContentLength > inlineBody {
-		go x.write()
+	x.writeDone = make(chan struct{})
+	if x.request.ContentLength > maxInlineBody {
+		go x.writeRequest()
 	} else {
-		x.write()
+		x.writeRequest()
 	}
-	response, err := x.read()
+	response, err := x.readMatching()
 	if err != nil {
-		return nil, x.fail("read", err)
+		return nil, x.newError("read", err)
 	}
-	x.wrap(response)
+	x.wrapBody(response)
 
 	return response, nil
 }
 
-func (x *exchange) write() {
-	defer close(x.written)
+// writeRequest writes the whole request and records the result.
+func (x *exchange) writeRequest() {
+	defer close(x.writeDone)
 	x.writeErr = x.request.Write(x.conn)
 }
 
-// fail makes an error of what ended the exchange; a request may have been seen as soon as it was begun.
-func (x *exchange) fail(step string, err error) *Error {
+// newError returns the error of an exchange on an open connection. Its Unsent is false, because
+// the upstream may have seen a request as soon as writing has begun.
+func (x *exchange) newError(step string, err error) *Error {
 	return &Error{Step: step, Peer: x.conn.address, Silent: isTimeout(err), Err: err}
 }
 
-// read returns the first response that is the request's own.
-func (x *exchange) read() (*http.Response, error) {
-	for range maxForeign + 1 {
-		response, err := x.readFinal()
+// readMatching returns the first response that matches the request.
+func (x *exchange) readMatching() (*http.Response, error) {
+	for range maxMismatched + 1 {
+		response, err := x.readFinalResponse()
 		if err != nil {
 			return nil, err
 		}
-		if x.options.Own == nil || x.options.Own(response.Header) {
+		if x.options.Matches == nil || x.options.Matches(response.Header) {
 			return response, nil
 		}
-		x.dirty = true
+		x.notReusable = true
 		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, errForeign
+			return nil, errNoMatch
 		}
-		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxForeignBytes)); err != nil {
+		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxMismatchedBytes)); err != nil {
 			return nil, err
 		}
 	}
 
-	return nil, errForeign
+	return nil, errNoMatch
 }
 
-// readFinal skips interim responses.
-func (x *exchange) readFinal() (*http.Response, error) {
+// readFinalResponse reads the next response and skips interim (1xx) responses.
+func (x *exchange) readFinalResponse() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(x.conn.reader, x.request)
 		if err != nil {
@@ -145,102 +156,106 @@
 	}
 }
 
-// errForeign is the end of an exchange that met only responses to other requests.
-var errForeign = errors.New("the responses on this connection belong to other requests")
+// errNoMatch ends an exchange that received only responses to other requests.
+var errNoMatch = errors.New("the responses on this connection belong to other requests")
 
-// wrap makes the response's body give the connection back once it is read to its end.
-func (x *exchange) wrap(response *http.Response) {
-	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	if !framed || response.Close {
-		x.dirty = true
+// wrapBody wraps the response's body so that the connection returns to the pool once the body is
+// read to its end.
+func (x *exchange) wrapBody(response *http.Response) {
+	isDelimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	if !isDelimited || response.Close {
+		x.notReusable = true
 	}
-	x.conn.life = keepAlive(response.Header)
-	response.Body = &body{ReadCloser: response.Body, exchange: x}
+	x.conn.idleLimit = idleLimitFrom(response.Header)
+	response.Body = &responseBody{ReadCloser: response.Body, exchange: x}
 	if response.ContentLength == 0 {
-		x.finish()
+		x.release()
 	}
 }
 
-// keepAlive returns how long the upstream says that it keeps an idle connection, less a margin.
-func keepAlive(h http.Header) time.Duration {
+// idleLimitFrom returns how long a connection may stay idle: three quarters of the time that the
+// upstream announces in Keep-Alive, and at most maxIdleTime.
+func idleLimitFrom(h http.Header) time.Duration {
 	for _, item := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(item), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if seconds, err := strconv.Atoi(value); err == nil {
-			// A connection that closes just as a request goes out loses it.
-			return min(idleLife, time.Duration(seconds)*time.Second*3/4)
+			// A request that is sent just as the upstream closes the connection is lost.
+			return min(maxIdleTime, time.Duration(seconds)*time.Second*3/4)
 		}
 	}
 
-	return idleLife
+	return maxIdleTime
 }
 
-// finish gives the connection back, or closes it if anything is left on it.
-func (x *exchange) finish() {
-	x.once.Do(func() {
-		stopped := x.stop()
-		if !stopped || x.dirty || !x.isWritten() || x.conn.reader.Buffered() > 0 {
+// release returns the connection to the pool. It closes the connection instead if it is not
+// reusable, the context has ended, the request is not fully written, or unread bytes are left.
+func (x *exchange) release() {
+	x.endOnce.Do(func() {
+		detached := x.detachContext()
+		if !detached || x.notReusable || !x.isRequestWritten() || x.conn.reader.Buffered() > 0 {
 			x.conn.close()
 
 			return
 		}
-		x.conn.pool.put(x.conn)
+		x.conn.pool.putIdle(x.conn)
 	})
 }
 
-// isWritten says whether the whole request went out.
-func (x *exchange) isWritten() bool {
+// isRequestWritten reports whether the whole request was written.
+func (x *exchange) isRequestWritten() bool {
 	select {
-	case <-x.written:
+	case <-x.writeDone:
 		return x.writeErr == nil
 	default:
 		return false
 	}
 }
 
-// abort closes the connection.
-func (x *exchange) abort() {
-	x.once.Do(func() {
-		x.stop()
+// closeConn ends the exchange and closes its connection.
+func (x *exchange) closeConn() {
+	x.endOnce.Do(func() {
+		x.detachContext()
 		x.conn.close()
 	})
 }
 
-// body is a response's body that knows its exchange.
-type body struct {
+// responseBody is the body of a response; it ends the exchange when it is read to its end or closed.
+type responseBody struct {
 	io.ReadCloser
-	exchange *exchange
-	done     bool
+	exchange   *exchange
+	reachedEnd bool
 }
 
-// Read reads on; at the end of the body the connection is free again.
-func (b *body) Read(p []byte) (int, error) {
+// Read reads from the body. At the end of the body the exchange releases the connection; other
+// errors close it and are of type *Error.
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	switch {
 	case err == io.EOF:
-		b.done = true
-		b.exchange.finish()
+		b.reachedEnd = true
+		b.exchange.release()
 	case err != nil:
-		b.exchange.abort()
+		b.exchange.closeConn()
 
-		return n, b.exchange.fail("body", err)
+		return n, b.exchange.newError("body", err)
 	}
 
 	return n, err
 }
 
-// Close ends the exchange; a body that was not read to its end takes the connection with it.
-func (b *body) Close() error {
-	if !b.done {
-		b.exchange.abort()
+// Close ends the exchange; it closes the connection if the body was not read to its end.
+func (b *responseBody) Close() error {
+	if !b.reachedEnd {
+		b.exchange.closeConn()
 	}
 
 	return nil
 }
 
-// isTimeout says whether an error is the lack of any sign of life.
+// isTimeout reports whether an error is a timeout.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 
--- a/internal/chuteshare/size_test.go
+++ b/internal/chuteshare/size_test.go
@@ -11,7 +11,7 @@
 	"azurechute.example/azurechute/internal/chuteshare/chutesharepb"
 )
 
-// upstreamRow is an upstream's entry as nodes hand it on.
+// upstreamRow returns the row of the i-th upstream in the form that nodes send.
 func upstreamRow(i int, state string) chutefeed.Row {
 	value := fmt.Sprintf(`{"service":"pool-%d","address":"10.%d.%d.%d:8608","zone":"hall-%d","version":"v1",`+
 		`"concurrency":32,"state":%q,"warmup_left_ms":0,"sequence":0}`, i%5, i>>16, i>>8&255, i&255, i%5, state)
@@ -19,6 +19,7 @@
 	return chutefeed.Row{Key: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Value: []byte(value), Version: uint64(i)}
 }
 
+// upstreamTable returns a table of n ready upstreams.
 func upstreamTable(n int) chutefeed.Table {
 	rows := make([]chutefeed.Row, 0, n)
 	for i := range n {
@@ -28,55 +29,57 @@
 	return chutefeed.NewTable(rows, uint64(n))
 }
 
-// sizes are the bytes of the messages that a follower gets.
-type sizes struct {
-	start, change, moved, sign int
+// messageSizes holds the sizes in bytes of the messages to a follower: a whole table, the change of
+// one row, the difference after it switches to another source, and a keepalive.
+type messageSizes struct {
+	wholeTable, change, sourceSwitch, keepalive int
 }
 
-func sizesOf(c *qt.C, upstreams int) sizes {
+// measureSizes returns the sizes for a table of a number of upstreams.
+func measureSizes(c *qt.C, upstreams int) messageSizes {
 	size := func(change chutefeed.Change) int {
-		message, err := (&packs{}).encode("t", change)
+		message, err := (&tableEncoder{}).encode("t", change)
 		c.Assert(err, qt.IsNil)
 
 		return proto.Size(&chutesharepb.FollowTableUpdate{Current: true, Change: message})
 	}
 	table := upstreamTable(upstreams)
-	later := table.WithChange(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
+	newer := table.WithChange(chutefeed.Change{Version: table.Version() + 1, Rows: []chutefeed.Row{upstreamRow(7, "draining")}})
 
-	return sizes{
-		start:  size(later.ChangeForDigests(nil)),
-		change: size(later.ChangeSince(table)),
-		moved:  size(later.ChangeForDigests(table.Digests())) + proto.Size(encodeKnown(table)),
-		sign:   size(later.WithVersion(later.Version() + 1).ChangeSince(later)),
+	return messageSizes{
+		wholeTable:   size(newer.ChangeForDigests(nil)),
+		change:       size(newer.ChangeSince(table)),
+		sourceSwitch: size(newer.ChangeForDigests(table.Digests())) + proto.Size(encodeKnown(table)),
+		keepalive:    size(newer.WithVersion(newer.Version() + 1).ChangeSince(newer)),
 	}
 }
 
 func TestSizes(t *testing.T) {
-	t.Run("what a change and a sign of life take does not grow with the upstreams", func(t *testing.T) {
+	t.Run("the sizes of a change and of a keepalive do not grow with the number of upstreams", func(t *testing.T) {
 		c := qt.New(t)
 		for _, upstreams := range []int{236, 3_000, 8_000} {
-			got := sizesOf(c, upstreams)
+			got := measureSizes(c, upstreams)
 			note := qt.Commentf("%d upstreams: %+v", upstreams, got)
 			c.Check(got.change <= 256, qt.IsTrue, note)
-			c.Check(got.sign <= 16, qt.IsTrue, note)
-			c.Check(got.moved <= 12_000, qt.IsTrue, note)
-			c.Check(got.start <= 80*upstreams, qt.IsTrue, note)
+			c.Check(got.keepalive <= 16, qt.IsTrue, note)
+			c.Check(got.sourceSwitch <= 12_000, qt.IsTrue, note)
+			c.Check(got.wholeTable <= 80*upstreams, qt.IsTrue, note)
 		}
 	})
 }
 
-// BenchmarkSizes prints the bytes of the messages that a follower gets.
+// BenchmarkSizes reports the sizes in bytes of the messages to a follower.
 func BenchmarkSizes(b *testing.B) {
 	for _, upstreams := range []int{236, 1_000, 3_000, 8_000} {
 		b.Run(fmt.Sprint(upstreams), func(b *testing.B) {
-			var got sizes
+			var got messageSizes
 			for b.Loop() {
-				got = sizesOf(qt.New(b), upstreams)
+				got = measureSizes(qt.New(b), upstreams)
 			}
-			b.ReportMetric(float64(got.start), "B/start")
+			b.ReportMetric(float64(got.wholeTable), "B/start")
 			b.ReportMetric(float64(got.change), "B/change")
-			b.ReportMetric(float64(got.moved), "B/moved")
-			b.ReportMetric(float64(got.sign), "B/sign")
+			b.ReportMetric(float64(got.sourceSwitch), "B/moved")
+			b.ReportMetric(float64(got.keepalive), "B/sign")
 		})
 	}
 }
