--- a/internal/chutefleet/availability.go
+++ b/internal/chutefleet/availability.go
@@ -23,8 +23,8 @@
 	BlockUnreadable BlockReason = "Unreadable"
 	// BlockEvacuated: the operator has evacuated its zone.
 	BlockEvacuated BlockReason = "Evacuated"
-	// BlockSetAside: it was silent and gets no calls for some time.
-	BlockSetAside BlockReason = "SetAside"
+	// BlockSuspended: it was silent and gets no calls for some time.
+	BlockSuspended BlockReason = "SetAside"
 	// BlockTrial: the time after its silence is over, and a trial call is in flight.
 	BlockTrial BlockReason = "Tried"
 	// BlockCold: it is cold, and this node has used up its quota of the calls that it
@@ -70,8 +70,8 @@
 		return Availability{Reason: BlockUnreadable}
 	case f.evacuated[m.Zone]:
 		return Availability{Reason: BlockEvacuated}
-	case now.Before(m.setAsideUntil):
-		return Availability{Reason: BlockSetAside, Until: m.setAsideUntil}
+	case now.Before(m.suspendedUntil):
+		return Availability{Reason: BlockSuspended, Until: m.suspendedUntil}
 	case m.silentFailures > 0 && m.inFlight > 0:
 		// Without this, nodes would send all their next requests to an upstream that
 		// was silent, and lose them all if it still is.
--- a/internal/chutefleet/availability_test.go
+++ b/internal/chutefleet/availability_test.go
@@ -40,11 +40,11 @@
 		},
 		{
 			name: "a silent one, until it is no longer set aside", fleet: silent, now: start,
-			want: Availability{Reason: BlockSetAside, Until: start.Add(initialSetAside)},
+			want: Availability{Reason: BlockSuspended, Until: start.Add(initialSuspension)},
 		},
-		{name: "one that is no longer set aside", fleet: silent, now: start.Add(initialSetAside)},
+		{name: "one that is no longer set aside", fleet: silent, now: start.Add(initialSuspension)},
 		{
-			name: "one with a trial call in flight", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSetAside),
+			name: "one with a trial call in flight", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSuspension),
 			want: Availability{Reason: BlockTrial},
 		},
 		{
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -59,11 +59,11 @@
 )
 
 const (
-	// initialSetAside and maxSetAside are the shortest and the longest time for which a
+	// initialSuspension and maxSuspension are the shortest and the longest time for which a
 	// silent upstream gets no call: long enough that it delays few callers, short enough
 	// that calls resume within a second after a restart, which takes 2 to 5 s.
-	initialSetAside = 500 * time.Millisecond
-	maxSetAside     = 2 * time.Second
+	initialSuspension = 500 * time.Millisecond
+	maxSuspension     = 2 * time.Second
 	// failureHalfLife is the half-life of the failure count; a period of failures lasts
 	// some seconds.
 	failureHalfLife = 2 * time.Second
@@ -91,7 +91,7 @@
 	failuresAt time.Time
 	// silentFailures counts the failures of kind FailureSilent since the last answer.
 	silentFailures int
-	setAsideUntil  time.Time
+	suspendedUntil time.Time
 	fullUntil      time.Time
 	// otherCalls is the number of other nodes' calls implied by its last load report.
 	otherCalls int
@@ -166,7 +166,7 @@
 		m.failures = m.recentFailures(now) / 2
 		m.failuresAt = now
 		m.silentFailures = 0
-		m.setAsideUntil = time.Time{}
+		m.suspendedUntil = time.Time{}
 	})
 }
 
@@ -182,7 +182,7 @@
 		m.failuresAt = now
 		if kind == FailureSilent {
 			m.silentFailures++
-			m.setAsideUntil = now.Add(min(maxSetAside, initialSetAside<<min(m.silentFailures-1, 4)))
+			m.suspendedUntil = now.Add(min(maxSuspension, initialSuspension<<min(m.silentFailures-1, 4)))
 		}
 	})
 }
--- a/internal/chutefleet/fleet_test.go
+++ b/internal/chutefleet/fleet_test.go
@@ -63,7 +63,7 @@
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithFailure("a", FailureSilent, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
-		later := start.Add(initialSetAside)
+		later := start.Add(initialSuspension)
 		c.Assert(f.Availability("a", later).IsAvailable(), qt.IsTrue)
 		f = f.WithCallSent("a", 0, start)
 		c.Assert(f.Availability("a", later).IsAvailable(), qt.IsFalse)
@@ -76,8 +76,8 @@
 		for range 10 {
 			f = f.WithFailure("a", FailureSilent, start)
 		}
-		c.Assert(f.Availability("a", start.Add(maxSetAside-time.Millisecond)).IsAvailable(), qt.IsFalse)
-		c.Assert(f.Availability("a", start.Add(maxSetAside)).IsAvailable(), qt.IsTrue)
+		c.Assert(f.Availability("a", start.Add(maxSuspension-time.Millisecond)).IsAvailable(), qt.IsFalse)
+		c.Assert(f.Availability("a", start.Add(maxSuspension)).IsAvailable(), qt.IsTrue)
 	})
 }
 
--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -30,15 +30,15 @@
 type Settings struct {
 	Self    chuterelay.Peer
 	Retries chutebudget.Settings
-	// ConfigWithin is the time within which a confirmed configuration has to be in force at every
-	// node. LeaveWithin is the time within which a leaving upstream stops getting calls. 0 stands
-	// for DefaultWithin.
-	ConfigWithin time.Duration
-	LeaveWithin  time.Duration
-	// ColdFactor is the multiple of its stated rate that a cold upstream may get; 0 counts as 1.
-	ColdFactor float64
-	Tables     Tables
-	Seed       uint64
+	// MaxConfigDelay is the time within which a confirmed configuration has to be in force at every
+	// node. MaxLeaveDelay is the time within which a leaving upstream stops getting calls. 0 stands
+	// for DefaultMaxDelay.
+	MaxConfigDelay time.Duration
+	MaxLeaveDelay  time.Duration
+	// WarmupRateFactor is the multiple of its stated rate that a cold upstream may get; 0 counts as 1.
+	WarmupRateFactor float64
+	Tables           Tables
+	Seed             uint64
 }
 
 // Node relays requests to upstreams.
@@ -115,8 +115,8 @@
 func New(
 	settings Settings, clock clockwork.Clock, log zerolog.Logger, store Store, decode Decoders, upstreams Upstreams,
 ) *Node {
-	settings.ConfigWithin = cmp.Or(settings.ConfigWithin, DefaultWithin)
-	settings.LeaveWithin = cmp.Or(settings.LeaveWithin, DefaultWithin)
+	settings.MaxConfigDelay = cmp.Or(settings.MaxConfigDelay, DefaultMaxDelay)
+	settings.MaxLeaveDelay = cmp.Or(settings.MaxLeaveDelay, DefaultMaxDelay)
 	runContext, cancelRun := context.WithCancel(context.Background())
 	n := &Node{
 		settings: settings, clock: clock, started: clock.Now(),
@@ -135,19 +135,19 @@
 		Incarnation: settings.Self.Incarnation,
 	}
 	relay := chuterelay.NewState(chuterelay.Settings{
-		Self: settings.Self, Retries: settings.Retries, ColdFactor: settings.ColdFactor, Seed: settings.Seed,
+		Self: settings.Self, Retries: settings.Retries, WarmupRateFactor: settings.WarmupRateFactor, Seed: settings.Seed,
 	})
 	n.state = chutecore.NewState(identity, settings.Seed, n.Now()).WithRelay(relay)
 	n.addGauges()
 	for table, stale := range map[string]time.Duration{
-		settings.Tables.Config:     staleAfterFor(settings.ConfigWithin),
-		settings.Tables.Upstreams:  staleAfterFor(settings.LeaveWithin),
+		settings.Tables.Config:     staleAfterFor(settings.MaxConfigDelay),
+		settings.Tables.Upstreams:  staleAfterFor(settings.MaxLeaveDelay),
 		settings.Tables.Peers:      unboundedStaleAfter,
 		settings.Tables.Quarantine: unboundedStaleAfter,
 	} {
 		n.localTables[table] = newLocalTable(table, stale)
 	}
-	n.localTables[settings.Tables.Upstreams].valueWithoutHeartbeat = decode.UpstreamWithoutHeartbeat
+	n.localTables[settings.Tables.Upstreams].normalizeValue = decode.NormalizeUpstreamEntry
 	n.localTables[settings.Tables.Peers].keepaliveInterval = chuteshare.SlowFollowEvery
 	n.localTables[settings.Tables.Quarantine].keepaliveInterval = chuteshare.SlowFollowEvery
 
--- a/internal/chutegate/localtable.go
+++ b/internal/chutegate/localtable.go
@@ -17,9 +17,9 @@
 // localTable is this node's copy of one of the store's tables.
 type localTable struct {
 	name string
-	// valueWithoutHeartbeat returns a row's value without the fields that each heartbeat changes;
+	// normalizeValue returns a row's value without the fields that each heartbeat changes;
 	// nil if all of the value matters.
-	valueWithoutHeartbeat func(value []byte) []byte
+	normalizeValue func(value []byte) []byte
 	// keepaliveInterval is how often a source shows its followers that it is alive.
 	keepaliveInterval time.Duration
 	// staleAfter is the age at which a node with a source considers the table stale and reads the
@@ -99,7 +99,7 @@
 }
 
 // rowsOfPage returns the rows of a page that are not deleted, with their values as
-// valueWithoutHeartbeat returns them.
+// normalizeValue returns them.
 //
 // Every upstream writes its row about once a second as a heartbeat. If those writes counted as
 // changes, thousands a second would be sent to all nodes.
@@ -110,8 +110,8 @@
 			continue
 		}
 		value := row.Value
-		if local.valueWithoutHeartbeat != nil {
-			value = local.valueWithoutHeartbeat(value)
+		if local.normalizeValue != nil {
+			value = local.normalizeValue(value)
 		}
 		rows = append(rows, chutefeed.Row{Key: row.Key, Value: value, Version: row.Version})
 	}
--- a/internal/chutegate/localtable_test.go
+++ b/internal/chutegate/localtable_test.go
@@ -17,9 +17,9 @@
 	"azurechute.example/azurechute/internal/chuterelay"
 )
 
-// withoutHeartbeat removes what follows a vertical bar, where these tests have the value that a
+// normalizeTestValue removes what follows a vertical bar, where these tests have the value that a
 // heartbeat changes.
-func withoutHeartbeat(value []byte) []byte {
+func normalizeTestValue(value []byte) []byte {
 	before, _, _ := bytes.Cut(value, []byte("|"))
 
 	return before
@@ -27,7 +27,7 @@
 
 func newTestTable() *localTable {
 	local := newLocalTable("t", minStaleAfter)
-	local.valueWithoutHeartbeat = withoutHeartbeat
+	local.normalizeValue = normalizeTestValue
 
 	return local
 }
@@ -245,7 +245,7 @@
 // pipeline or key in a way that callers do not retry.
 func TestStaleConfigurationRefusesNobodyForGood(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	n := New(Settings{Tables: testTables, ConfigWithin: 3 * time.Second}, clock, zerolog.Nop(), Store{}, testDecoders(), Upstreams{})
+	n := New(Settings{Tables: testTables, MaxConfigDelay: 3 * time.Second}, clock, zerolog.Nop(), Store{}, testDecoders(), Upstreams{})
 	unknown := chuterelay.Refusal{Kind: chuterelay.RefusedNoPipeline, Reason: "no pipeline"}
 
 	t.Run("the configuration was never known to be the newest", func(t *testing.T) {
--- a/internal/chutegate/platform.go
+++ b/internal/chutegate/platform.go
@@ -193,9 +193,9 @@
 	// which follows from the row's key; false for all other rows.
 	EvacuatedZone func(key string) (zone string, ok bool)
 	Upstream      func(key string, value []byte) (chutefleet.Upstream, error)
-	// UpstreamWithoutHeartbeat returns an upstream's entry without the fields that each heartbeat
+	// NormalizeUpstreamEntry returns an upstream's entry without the fields that each heartbeat
 	// changes. An entry that can't be decoded is returned unchanged.
-	UpstreamWithoutHeartbeat func(value []byte) []byte
+	NormalizeUpstreamEntry func(value []byte) []byte
 }
 
 // Tables names the tables of the store.
--- a/internal/chutegate/serve.go
+++ b/internal/chutegate/serve.go
@@ -96,7 +96,7 @@
 // retry at another node instead.
 func (n *Node) asRetryableIfStale(r chuterelay.Refusal) chuterelay.Refusal {
 	age, known := n.localTables[n.settings.Tables.Config].age(n.Now())
-	if known && age <= n.settings.ConfigWithin {
+	if known && age <= n.settings.MaxConfigDelay {
 		return r
 	}
 	n.staleRefusals.Add(1)
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -18,10 +18,10 @@
 type Settings struct {
 	Self    Peer
 	Retries chutebudget.Settings
-	// ColdFactor is the most that is sent to a cold upstream, as a multiple of the rate that the
+	// WarmupRateFactor is the most that is sent to a cold upstream, as a multiple of the rate that the
 	// operator states for it; 0 counts as 1.
-	ColdFactor float64
-	Seed       uint64
+	WarmupRateFactor float64
+	Seed             uint64
 }
 
 // State is all that decisions on relayed requests depend on. Copies are cheap and a State is never
--- a/internal/chuterelay/warmup.go
+++ b/internal/chuterelay/warmup.go
@@ -16,7 +16,7 @@
 		if pool.Warmup == nil || pool.Warmup.CallsPerSecond <= 0 {
 			continue
 		}
-		calls := max(1, int(max(1, s.ColdFactor)*pool.Warmup.CallsPerSecond))
+		calls := max(1, int(max(1, s.WarmupRateFactor)*pool.Warmup.CallsPerSecond))
 		bounds[name] = chutefleet.ColdBound{CallsPerSecond: calls, Duration: pool.Warmup.Time}
 	}
 
--- a/internal/chuterelay/warmup_test.go
+++ b/internal/chuterelay/warmup_test.go
@@ -68,7 +68,7 @@
 	}
 	for i := range nodes {
 		state := NewState(Settings{
-			Self: peers[i], Retries: chutebudget.Settings{Ratio: 0.2, Slack: 100}, ColdFactor: coldFactor, Seed: uint64(i),
+			Self: peers[i], Retries: chutebudget.Settings{Ratio: 0.2, Slack: 100}, WarmupRateFactor: coldFactor, Seed: uint64(i),
 		})
 		s.nodes = append(s.nodes, state)
 		s.on(i, ConfigAdopted{Config: config})
