--- a/internal/chutefleet/availability.go
+++ b/internal/chutefleet/availability.go
@@ -23,9 +23,9 @@
 	BlockUnreadable BlockReason = "Unreadable"
 	// BlockEvacuated: the operator has evacuated its zone.
 	BlockEvacuated BlockReason = "Evacuated"
-	// BlockSuspended: it was silent and gets no calls for some time.
+	// BlockSuspended: it was silent and is suspended: it gets no calls for some time.
 	BlockSuspended BlockReason = "SetAside"
-	// BlockTrial: the time after its silence is over, and a trial call is in flight.
+	// BlockTrial: its suspension is over, and a trial call is in flight.
 	BlockTrial BlockReason = "Tried"
 	// BlockCold: it is cold, and this node has used up its quota of the calls that it
 	// may get while cold.
--- a/internal/chutefleet/availability_test.go
+++ b/internal/chutefleet/availability_test.go
@@ -39,10 +39,10 @@
 			now:   start, want: Availability{Reason: BlockEvacuated}, removesFromPool: true,
 		},
 		{
-			name: "a silent one, until it is no longer set aside", fleet: silent, now: start,
+			name: "a silent one, until it is no longer suspended", fleet: silent, now: start,
 			want: Availability{Reason: BlockSuspended, Until: start.Add(initialSuspension)},
 		},
-		{name: "one that is no longer set aside", fleet: silent, now: start.Add(initialSuspension)},
+		{name: "one that is no longer suspended", fleet: silent, now: start.Add(initialSuspension)},
 		{
 			name: "one with a trial call in flight", fleet: silent.WithCallSent("a", 0, start), now: start.Add(initialSuspension),
 			want: Availability{Reason: BlockTrial},
--- a/internal/chutefleet/fleet.go
+++ b/internal/chutefleet/fleet.go
@@ -60,8 +60,9 @@
 
 const (
 	// initialSuspension and maxSuspension are the shortest and the longest time for which a
-	// silent upstream gets no call: long enough that it delays few callers, short enough
-	// that calls resume within a second after a restart, which takes 2 to 5 s.
+	// silent upstream is suspended, that is, gets no calls: long enough that it delays few
+	// callers, short enough that calls resume within a second after a restart, which takes
+	// 2 to 5 s.
 	initialSuspension = 500 * time.Millisecond
 	maxSuspension     = 2 * time.Second
 	// failureHalfLife is the half-life of the failure count; a period of failures lasts
--- a/internal/chutefleet/fleet_test.go
+++ b/internal/chutefleet/fleet_test.go
@@ -57,9 +57,9 @@
 }
 
 func TestSilence(t *testing.T) {
-	t.Run("a silent upstream is set aside, then gets one trial call at a time", func(t *testing.T) {
-		// A connection attempt to "a" got no answer. Calls go to "b" while "a" is set
-		// aside; then "a" gets one trial call, and no other until that succeeds.
+	t.Run("a silent upstream is suspended, then gets one trial call at a time", func(t *testing.T) {
+		// A connection attempt to "a" got no answer. Calls go to "b" while "a" is
+		// suspended; then "a" gets one trial call, and no other until that succeeds.
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"), upstream("b", "z1")).WithFailure("a", FailureSilent, start)
 		expectChosen(c, f, Query{Pool: "p"}, start, "b")
@@ -70,7 +70,7 @@
 		c.Assert(f.WithSuccess("a", later).Availability("a", later).IsAvailable(), qt.IsTrue)
 	})
 
-	t.Run("the time for which it is set aside grows up to a maximum", func(t *testing.T) {
+	t.Run("the time for which it is suspended grows up to a maximum", func(t *testing.T) {
 		c := qt.New(t)
 		f := fleetOf(upstream("a", "z1"))
 		for range 10 {
--- a/internal/chutegate/gate.go
+++ b/internal/chutegate/gate.go
@@ -35,7 +35,8 @@
 	// for DefaultMaxDelay.
 	MaxConfigDelay time.Duration
 	MaxLeaveDelay  time.Duration
-	// WarmupRateFactor is the multiple of its stated rate that a cold upstream may get; 0 counts as 1.
+	// WarmupRateFactor is the multiple of its stated warm-up rate that a cold upstream may get; less
+	// than 1 counts as 1.
 	WarmupRateFactor float64
 	Tables           Tables
 	Seed             uint64
--- a/internal/chutegate/localtable.go
+++ b/internal/chutegate/localtable.go
@@ -17,8 +17,8 @@
 // localTable is this node's copy of one of the store's tables.
 type localTable struct {
 	name string
-	// normalizeValue returns a row's value without the fields that each heartbeat changes;
-	// nil if all of the value matters.
+	// normalizeValue returns a row's value without what changes with each heartbeat; nil if all of
+	// the value matters.
 	normalizeValue func(value []byte) []byte
 	// keepaliveInterval is how often a source shows its followers that it is alive.
 	keepaliveInterval time.Duration
@@ -98,8 +98,8 @@
 	return slices.DeleteFunc(slices.Clone(changes), func(row Row) bool { return row.Version < last[row.Key] })
 }
 
-// rowsOfPage returns the rows of a page that are not deleted, with their values as
-// normalizeValue returns them.
+// rowsOfPage returns the rows of a page that are not deleted, with their values as normalizeValue
+// returns them.
 //
 // Every upstream writes its row about once a second as a heartbeat. If those writes counted as
 // changes, thousands a second would be sent to all nodes.
--- a/internal/chutegate/platform.go
+++ b/internal/chutegate/platform.go
@@ -193,8 +193,8 @@
 	// which follows from the row's key; false for all other rows.
 	EvacuatedZone func(key string) (zone string, ok bool)
 	Upstream      func(key string, value []byte) (chutefleet.Upstream, error)
-	// NormalizeUpstreamEntry returns an upstream's entry without the fields that each heartbeat
-	// changes. An entry that can't be decoded is returned unchanged.
+	// NormalizeUpstreamEntry returns an upstream's entry without what changes with each heartbeat.
+	// An entry that can't be decoded is returned unchanged.
 	NormalizeUpstreamEntry func(value []byte) []byte
 }
 
--- a/internal/chutegate/refresh.go
+++ b/internal/chutegate/refresh.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// DefaultMaxDelay is the time within which a confirmed change has to be in force at every node if
-	// the settings give none.
+	// DefaultMaxDelay is the time within which a confirmed change has to be in force at every node
+	// if the settings give none.
 	DefaultMaxDelay = 2 * time.Second
 	// minStaleAfter is the minimum age at which a table counts as stale. With a shorter one, a
 	// table that is read every upstreamsReadInterval would be asked for in between its regular
--- a/internal/chuterelay/attempt_test.go
+++ b/internal/chuterelay/attempt_test.go
@@ -214,7 +214,7 @@
 		n.expectRefused(RefusedNotRun)
 	})
 
-	t.Run("so does one whose upstreams are all set aside", func(t *testing.T) {
+	t.Run("so does one whose upstreams are all suspended", func(t *testing.T) {
 		n := newNode(t)
 		for _, u := range testUpstreams() {
 			n.state.fleet = n.state.fleet.WithFailure(u.ID, chutefleet.FailureSilent, n.now)
--- a/internal/chuterelay/state.go
+++ b/internal/chuterelay/state.go
@@ -18,8 +18,8 @@
 type Settings struct {
 	Self    Peer
 	Retries chutebudget.Settings
-	// WarmupRateFactor is the most that is sent to a cold upstream, as a multiple of the rate that the
-	// operator states for it; 0 counts as 1.
+	// WarmupRateFactor is the multiple of the warm-up rate, stated by the operator, that a cold
+	// upstream may get; less than 1 counts as 1.
 	WarmupRateFactor float64
 	Seed             uint64
 }
