--- a/internal/chutemeter/meter_test.go
+++ b/internal/chutemeter/meter_test.go
@@ -71,7 +71,7 @@
 	m := New()
 	m.Note(chuterelay.LogStep{Step: chuterelay.StepSent, Pool: "p"})
 	m.Note(chuterelay.LogStep{Step: chuterelay.StepSent, Pool: "p", RepeatOf: chuterelay.EndRefused})
-	m.Note(chuterelay.LogStep{Step: chuterelay.StepRepeatRefused, Pool: "p", RepeatOf: chuterelay.EndBroken})
+	m.Note(chuterelay.LogStep{Step: chuterelay.StepRetryRefused, Pool: "p", RepeatOf: chuterelay.EndBroken})
 	got := text(c, m)
 	c.Assert(got, qt.Contains, `azurechute_repeats_total{pool="p",after="Refused"} 1`)
 	c.Assert(got, qt.Contains, `azurechute_repeats_refused_total{pool="p",after="Broken"} 1`)
--- a/internal/chutemeter/repeats.go
+++ b/internal/chutemeter/repeats.go
@@ -24,7 +24,7 @@
 	if n.RepeatOf == "" {
 		return
 	}
-	s := repeatSeries{pool: n.Pool, after: string(n.RepeatOf), refused: n.Step == chuterelay.StepRepeatRefused}
+	s := repeatSeries{pool: n.Pool, after: string(n.RepeatOf), refused: n.Step == chuterelay.StepRetryRefused}
 	if _, known := m.repeats[s]; !known && len(m.repeats) >= maxSeries {
 		s.pool = other
 	}
--- a/internal/chuterelay/attempt.go
+++ b/internal/chuterelay/attempt.go
@@ -27,12 +27,12 @@
 		return
 	}
 	if r.maybeReached {
-		if !st.mayRepeat(r.pool) {
-			st.refuseRepeat(r)
+		if !st.mayRetry(r.pool) {
+			st.refuseRetry(r)
 
 			return
 		}
-		st.countRepeats(budgetKey{pool: r.pool}, 1)
+		st.countRetries(budgetKey{pool: r.pool}, 1)
 	}
 	r.sends++
 	r.possibleRuns++
@@ -187,16 +187,16 @@
 		st.endUnanswered(r, notRunRefusal("upstreams refused it: "+string(e.End)))
 	case !st.now.Add(r.callTime() / 2).Before(r.Deadline):
 		st.endUnanswered(r, failedRefusal("too little time is left to try again"))
-	case r.maybeReached && !st.mayRepeat(r.pool):
-		st.refuseRepeat(r)
+	case r.maybeReached && !st.mayRetry(r.pool):
+		st.refuseRetry(r)
 	default:
 		st.retry(r, e)
 	}
 }
 
-// refuseRepeat ends a request that may not be sent again because the retry budget is used up.
-func (st *reduction) refuseRepeat(r request) {
-	st.logStep(StepRepeatRefused, r, func(n *LogStep) { n.RepeatOf, n.Budget = r.lastEnd, st.budgetForLog(r.pool) })
+// refuseRetry ends a request that may not be sent again because the retry budget is used up.
+func (st *reduction) refuseRetry(r request) {
+	st.logStep(StepRetryRefused, r, func(n *LogStep) { n.RepeatOf, n.Budget = r.lastEnd, st.budgetForLog(r.pool) })
 	refusal := notRunRefusal("the retry budget is used up")
 	refusal.RetryAfter = time.Duration((1 - retryAfterSpread + 2*retryAfterSpread*st.randomFraction()) * float64(defaultRetryAfter))
 	st.endUnanswered(r, refusal)
--- a/internal/chuterelay/budget.go
+++ b/internal/chuterelay/budget.go
@@ -19,7 +19,7 @@
 	startupSlackDivisor = 8
 	minDividedSlack     = 4
 	// departedWindows is how many windows a node that has left the list keeps its share of the
-	// slack: it goes on serving for less than one window, and its last repeats count for another.
+	// slack: it goes on serving for less than one window, and its last retries count for another.
 	departedWindows = 2
 )
 
@@ -52,14 +52,14 @@
 	return a == b
 }
 
-// account is a budget together with this node's share of the slack, in repeats.
+// account is a budget together with this node's share of the slack, in retries.
 type account struct {
 	budgetKey
 
 	slack int
 }
 
-// nodeAccount returns the account for repeated calls to a pool, and for lost results that are made
+// nodeAccount returns the account for retries of calls to a pool, and for lost results that are made
 // again.
 func (s State) nodeAccount(pool string, now time.Time) account {
 	poolSlack := s.settings.Retries.Slack
@@ -83,10 +83,10 @@
 
 // spendableSlack returns how much of a share of the slack this process may spend.
 //
-// It does not know what the previous process of this node has spent, until those repeats have left
-// the window. Until then it has what each process leaves to the next one, and at least one repeat,
+// It does not know what the previous process of this node has spent, until those retries have left
+// the window. Until then it has what each process leaves to the next one, and at least one retry,
 // also before it knows the list of nodes, so that callers of a node that has just started get some
-// repeats.
+// retries.
 func (s State) spendableSlack(share int, now time.Time) int {
 	startupSlack := max(1, share/startupSlackDivisor)
 	switch {
@@ -112,14 +112,14 @@
 	st.budgets = st.budgets.Set(key, budget.WithFirst(st.settings.Retries, n, st.now))
 }
 
-// countRepeats adds n repeats to a budget.
-func (st *reduction) countRepeats(key budgetKey, n int) {
+// countRetries adds n retries to a budget.
+func (st *reduction) countRetries(key budgetKey, n int) {
 	budget, _ := st.budgets.Get(key)
 	st.budgets = st.budgets.Set(key, budget.WithSpent(st.settings.Retries, n, st.now))
 }
 
-// repeatsLeft returns how many repeats an account allows now.
-func (st *reduction) repeatsLeft(a account) int {
+// retriesLeft returns how many retries an account allows now.
+func (st *reduction) retriesLeft(a account) int {
 	return st.counts(a, st.now).Left
 }
 
@@ -130,9 +130,9 @@
 	return budget.Counts(s.settings.Retries, a.slack, now)
 }
 
-// mayRepeat reports whether one more repeat may be sent to a pool.
-func (st *reduction) mayRepeat(pool string) bool {
-	return st.repeatsLeft(st.nodeAccount(pool, st.now)) > 0
+// mayRetry reports whether one more retry may be sent to a pool.
+func (st *reduction) mayRetry(pool string) bool {
+	return st.retriesLeft(st.nodeAccount(pool, st.now)) > 0
 }
 
 // nodeBudget returns this node's retry budget for relayed calls to a pool.
--- a/internal/chuterelay/budget_sim_test.go
+++ b/internal/chuterelay/budget_sim_test.go
@@ -155,7 +155,7 @@
 
 // noteRefused counts a repeat that was refused though the bound had room for it.
 func (w *budgetWorld) noteRefused(n LogStep) {
-	if n.Step != StepRepeatRefused {
+	if n.Step != StepRetryRefused {
 		return
 	}
 	from := w.now.Add(-w.settings.Span())
--- a/internal/chuterelay/collect.go
+++ b/internal/chuterelay/collect.go
@@ -207,10 +207,10 @@
 		st.recordCallCrash(u, call, "a call with parts broke")
 	}
 	budgetAccount := st.collectorAccount(call.Pool, st.now)
-	allowedRepeats := st.repeatsLeft(budgetAccount)
+	allowedRetries := st.retriesLeft(budgetAccount)
 	var ended chutebatch.JobChanges
-	st.collector, ended = st.collector.WithCallEnded(e.ID, e.End, e.PartEnds, u.Zone, allowedRepeats, st.now)
-	st.countRepeats(budgetAccount.budgetKey, ended.Requeued)
+	st.collector, ended = st.collector.WithCallEnded(e.ID, e.End, e.PartEnds, u.Zone, allowedRetries, st.now)
+	st.countRetries(budgetAccount.budgetKey, ended.Requeued)
 	st.settleJobs(ended)
 	st.fillCalls(call.Lane)
 }
--- a/internal/chuterelay/evacuate.go
+++ b/internal/chuterelay/evacuate.go
@@ -4,7 +4,7 @@
 
 // setEvacuatedZones applies the list of zones that the operator has evacuated.
 //
-// Nothing new goes to their upstreams from now on: no call, part, repeat, resumed stream or probe,
+// Nothing new goes to their upstreams from now on: no call, part, retry, resumed stream or probe,
 // and no message to free results, which expire by themselves. What runs there continues, and its
 // callers get their answers. Waiting parts go to other zones at once, and results in the zone are
 // still fetched by upstreams outside it.
--- a/internal/chuterelay/logstep.go
+++ b/internal/chuterelay/logstep.go
@@ -19,8 +19,8 @@
 	// StepFailureDelivered: the caller got the upstream's own answer that it failed.
 	StepFailureDelivered Step = "answered with failure"
 	StepCancelled        Step = "cancelled"
-	// StepRepeatRefused: the call is not sent again because the retry budget is used up.
-	StepRepeatRefused Step = "repeat refused"
+	// StepRetryRefused: the call is not sent again because the retry budget is used up.
+	StepRetryRefused Step = "repeat refused"
 )
 
 // LogStep records one step of a request, and what decided it, in the log and the metrics.
@@ -61,7 +61,7 @@
 	Reason string
 	// RepeatOf is how the previous call ended, if a call is sent again.
 	RepeatOf AttemptEnd
-	// Budget is the pool's retry budget, if it allowed or refused a repeat.
+	// Budget is the pool's retry budget, if it allowed or refused a retry.
 	Budget *BudgetView
 	// Version is that of the configuration in force.
 	Version uint64
--- a/internal/chuterelay/request.go
+++ b/internal/chuterelay/request.go
@@ -63,7 +63,7 @@
 	sends        int
 	possibleRuns int
 	// maybeReached says that a call may have reached an upstream, so that the next one is a
-	// repeat.
+	// retry.
 	maybeReached bool
 	// lastEnd is how the last call ended; empty before the first has.
 	lastEnd        AttemptEnd
--- a/internal/chuterelay/restart.go
+++ b/internal/chuterelay/restart.go
@@ -40,10 +40,10 @@
 		}
 	}
 	budgetAccount := st.collectorAccount(u.Pool, st.now)
-	allowedRepeats := st.repeatsLeft(budgetAccount)
+	allowedRetries := st.retriesLeft(budgetAccount)
 	var ended chutebatch.JobChanges
-	st.collector, ended = st.collector.WithoutUpstream(u.ID, allowedRepeats, st.now)
-	st.countRepeats(budgetAccount.budgetKey, ended.Requeued)
+	st.collector, ended = st.collector.WithoutUpstream(u.ID, allowedRetries, st.now)
+	st.countRetries(budgetAccount.budgetKey, ended.Requeued)
 	st.settleJobs(ended)
 }
 
@@ -108,12 +108,12 @@
 		}
 		pool := r.Pipeline.Stages[i].Pool
 		budgetAccount := st.nodeAccount(pool, st.now)
-		if st.repeatsLeft(budgetAccount) < r.parts(i) {
+		if st.retriesLeft(budgetAccount) < r.parts(i) {
 			st.giveUp(r, notRunRefusal("results were lost and the retry budget is used up: "+restartedReason))
 
 			return
 		}
-		st.countRepeats(budgetAccount.budgetKey, r.parts(i))
+		st.countRetries(budgetAccount.budgetKey, r.parts(i))
 	}
 	st.advance(r)
 }
