--- a/internal/chuterelay/bench_test.go
+++ b/internal/chuterelay/bench_test.go
@@ -14,9 +14,9 @@
 	n := newNode(b)
 	b.ReportAllocs()
 	for i := range uint64(b.N) {
-		n.on(Arrived{Submission: plain(i+1, chuteroute.Repeatable)})
-		s := take[Send](n)[0]
-		n.ends(s, EndAnswered)
+		n.on(Arrived{Submission: plainRequest(i+1, chuteroute.Repeatable)})
+		s := takeAll[Send](n)[0]
+		n.endCall(s, EndAnswered)
 		n.effects = nil
 		n.now = n.now.Add(time.Microsecond)
 	}
@@ -34,14 +34,14 @@
 				job.Priority = 9
 				n.on(JobReceived{Token: uint64(token + 1), Job: job})
 			}
-			running := take[RunCall](n)
+			running := takeAll[RunCall](n)
 			b.ReportAllocs()
 			for i := range b.N {
 				token := uint64(1_000_000 + i)
 				n.on(JobReceived{Token: token, Job: peerJob("r", 8)})
-				running = append(running, take[RunCall](n)...)
-				n.answer(running[0])
-				running = append(running[1:], take[RunCall](n)...)
+				running = append(running, takeAll[RunCall](n)...)
+				n.answerCall(running[0])
+				running = append(running[1:], takeAll[RunCall](n)...)
 				n.on(JobCancelled{Token: token})
 				n.effects = nil
 			}
--- a/internal/chuterelay/budget_sim_test.go
+++ b/internal/chuterelay/budget_sim_test.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// budgetLife is how long one simulated run lasts.
-	budgetLife = 50 * time.Second
-	// drainTime is how long a node that is told to end serves on.
+	// simDuration is the length of one simulated run.
+	simDuration = 50 * time.Second
+	// drainTime is how long a draining node continues to serve.
 	drainTime = 5 * time.Second
-	// budgetRate is the number of requests a second, by node.
+	// budgetRate is the number of requests per second and node.
 	budgetRate = 5
 )
 
-// budgetNode is one node with its present process.
+// budgetNode is one node with its current process.
 type budgetNode struct {
 	name     string
 	state    State
-	life     int
+	process  int
 	up       bool
 	draining bool
-	// cut says that it hears of no change to the list of nodes.
-	cut     bool
-	handles uint64
-	by      map[uint64]string
+	// cut says that the node receives no changes to the list of nodes.
+	cut        bool
+	handles    uint64
+	requestIDs map[uint64]string
 }
 
-// budgetWorld is one pool of upstreams that fails for most of the time, behind nodes that
-// come and go. It counts what the upstreams and the callers see.
+// budgetWorld simulates one pool of upstreams that fails most of the time, behind nodes that start
+// and end. It counts what the upstreams and the callers see.
 type budgetWorld struct {
 	*qt.C
 	*simClock
@@ -45,17 +45,18 @@
 	nodes    []*budgetNode
 	// listed are the nodes on the platform's list.
 	listed []string
-	// failing is how calls end now, and share the part of them that do.
+	// failing is how failed calls end now, and share is the fraction of calls that fail.
 	failing AttemptEnd
 	share   float64
-	// requests and repeats are when callers sent requests, and when arrivals beyond the
-	// first of a request came; arrived are the requests of which one has come.
+	// requests and retries are the times at which callers sent requests, and at which calls of
+	// a request after its first one reached an upstream. arrived holds the requests of which a
+	// call has reached one.
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 	arrived  map[string]bool
 	answered int
-	// starved counts the requests that got no repeat while the bound had room for one.
-	starved int
+	// denied counts the requests that got no retry although the bound allowed one.
+	denied int
 }
 
 func newBudgetWorld(t *testing.T, seed uint64, nodes int, slack float64) *budgetWorld {
@@ -64,31 +65,31 @@
 		settings: chutebudget.Settings{Ratio: 0.2, Slack: slack},
 	}
 	for range nodes {
-		w.add()
+		w.addNode()
 	}
 
 	return w
 }
 
-// add brings a new node.
-func (w *budgetWorld) add() {
+// addNode starts a new node.
+func (w *budgetWorld) addNode() {
 	n := &budgetNode{name: fmt.Sprint("n", len(w.nodes))}
 	w.nodes = append(w.nodes, n)
-	w.boot(n)
+	w.startProcess(n)
 }
 
-// boot starts a node's process, which reads what the platform has and puts itself on the list.
-func (w *budgetWorld) boot(n *budgetNode) {
-	n.life++
-	n.up, n.draining, n.by = true, false, map[uint64]string{}
+// startProcess starts a node's process, which reads the platform's data and adds itself to the list.
+func (w *budgetWorld) startProcess(n *budgetNode) {
+	n.process++
+	n.up, n.draining, n.requestIDs = true, false, map[uint64]string{}
 	n.state = NewState(Settings{Self: Peer{Name: n.name, Zone: "z1"}, Retries: w.settings, Seed: w.random.Uint64()})
 	w.on(n, ConfigAdopted{Config: testConfig(1)})
 	w.on(n, UpstreamsListed{Upstreams: w.upstreams()})
-	w.later(n, w.between(0, 300*time.Millisecond), func() { w.hear(n) })
+	w.later(n, w.between(0, 300*time.Millisecond), func() { w.deliverList(n) })
 	w.later(n, w.between(50*time.Millisecond, 500*time.Millisecond), func() {
 		if !slices.Contains(w.listed, n.name) {
 			w.listed = append(w.listed, n.name)
-			w.tellList()
+			w.announceList()
 		}
 	})
 }
@@ -105,25 +106,25 @@
 	return all
 }
 
-// later does something later if the node's process is still the same.
+// later schedules a function, which runs only if the node still has the same process.
 func (w *budgetWorld) later(n *budgetNode, d time.Duration, what func()) {
-	life := n.life
+	process := n.process
 	w.after(d, func() {
-		if n.up && n.life == life {
+		if n.up && n.process == process {
 			what()
 		}
 	})
 }
 
-// tellList has all nodes hear of the list of nodes, each at its own time.
-func (w *budgetWorld) tellList() {
+// announceList delivers the list of nodes to all nodes, with a different delay for each.
+func (w *budgetWorld) announceList() {
 	for _, n := range w.nodes {
-		w.later(n, w.between(20*time.Millisecond, 800*time.Millisecond), func() { w.hear(n) })
+		w.later(n, w.between(20*time.Millisecond, 800*time.Millisecond), func() { w.deliverList(n) })
 	}
 }
 
-// hear tells a node the list of nodes, unless it is cut off.
-func (w *budgetWorld) hear(n *budgetNode) {
+// deliverList delivers the list of nodes to a node, unless it is cut off.
+func (w *budgetWorld) deliverList(n *budgetNode) {
 	if n.cut {
 		return
 	}
@@ -134,99 +135,99 @@
 	w.on(n, PeersListed{Peers: peers})
 }
 
-// on hands a node an event and carries out what follows.
+// on reduces an event at a node and carries out its effects.
 func (w *budgetWorld) on(n *budgetNode, e Event) {
 	var effects []Effect
 	n.state, effects = Reduce(n.state, w.now, e)
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Send:
-			life, id := n.life, n.by[e.Handle]
-			w.after(w.between(time.Millisecond, 300*time.Millisecond), func() { w.arrive(n, life, id, e) })
+			process, id := n.process, n.requestIDs[e.Handle]
+			w.after(w.between(time.Millisecond, 300*time.Millisecond), func() { w.arrive(n, process, id, e) })
 		case Probe:
 			w.later(n, e.At.Sub(w.now), func() { w.on(n, ProbeEnded{Upstream: e.Upstream.ID, Alive: true}) })
 		case Deliver:
 			w.answered++
 		case LogStep:
-			w.noteRefused(e)
+			w.countDeniedRetry(e)
 		}
 	}
 }
 
-// noteRefused counts a repeat that was refused though the bound had room for it.
-func (w *budgetWorld) noteRefused(n LogStep) {
+// countDeniedRetry counts a retry that was refused although the bound allowed it.
+func (w *budgetWorld) countDeniedRetry(n LogStep) {
 	if n.Step != StepRetryRefused {
 		return
 	}
 	from := w.now.Add(-w.settings.Span())
-	if float64(w.count(w.repeats, from)+1) <= w.allowed(from) {
-		w.starved++
+	if float64(w.count(w.retries, from)+1) <= w.maxRetries(from) {
+		w.denied++
 	}
 }
 
-// arrive brings a call of a request to its upstream, also if its node has ended since.
-func (w *budgetWorld) arrive(n *budgetNode, life int, id string, s Send) {
+// arrive delivers a call to its upstream, also if its node has ended in the meantime.
+func (w *budgetWorld) arrive(n *budgetNode, process int, id string, s Send) {
 	end := EndAnswered
 	if w.random.Float64() < w.share {
 		end = w.failing
 	}
 	if end != EndUnreachable {
 		if w.arrived[id] {
-			w.repeats = append(w.repeats, w.now)
+			w.retries = append(w.retries, w.now)
 		}
 		w.arrived[id] = true
 	}
 	w.after(w.between(time.Millisecond, 60*time.Millisecond), func() {
-		if n.up && n.life == life {
+		if n.up && n.process == process {
 			w.on(n, AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: end, HasAnswer: end == EndAnswered || end == EndErrored})
 		}
 	})
 }
 
-// come sends one request to some node. A caller whose node is down comes again at another
-// one, which is another request.
-func (w *budgetWorld) come() {
+// sendRequest sends one request to a random node. A caller whose node is down tries again at a
+// random node, which counts as another request.
+func (w *budgetWorld) sendRequest() {
 	w.requests = append(w.requests, w.now)
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	if !n.up {
 		if slices.ContainsFunc(w.nodes, func(n *budgetNode) bool { return n.up }) {
-			w.after(w.between(0, time.Second), w.come)
+			w.after(w.between(0, time.Second), w.sendRequest)
 		}
 
 		return
 	}
 	n.handles++
-	s := plain(n.handles, chuteroute.Repeatable)
-	s.ID, s.Deadline = fmt.Sprint(n.name, "/", n.life, "/", n.handles), w.now.Add(3*time.Second)
-	n.by[s.Handle] = s.ID
+	s := plainRequest(n.handles, chuteroute.Repeatable)
+	s.ID, s.Deadline = fmt.Sprint(n.name, "/", n.process, "/", n.handles), w.now.Add(3*time.Second)
+	n.requestIDs[s.Handle] = s.ID
 	w.on(n, Arrived{Submission: s})
 }
 
-// fail has the pool fail in another way, or not at all, for some seconds.
-func (w *budgetWorld) fail() {
+// changeFailure makes the pool fail in another way, or not at all, for some seconds.
+func (w *budgetWorld) changeFailure() {
 	ends := []AttemptEnd{EndRefused, EndErrored, EndBroken, EndSilent, EndUnreachable}
 	w.failing, w.share = ends[w.random.IntN(len(ends))], 0.4+0.6*w.random.Float64()
 	if w.random.IntN(4) == 0 {
 		w.share = 0
 	}
-	w.after(w.between(2*time.Second, 15*time.Second), w.fail)
+	w.after(w.between(2*time.Second, 15*time.Second), w.changeFailure)
 }
 
-// kill ends a node's process, which starts again a moment later.
+// kill ends a node's process, which starts again 0.3 to 3 s later.
 func (w *budgetWorld) kill(n *budgetNode) {
 	if !n.up {
 		return
 	}
 	n.up = false
-	n.life++
+	n.process++
 	w.after(w.between(300*time.Millisecond, 3*time.Second), func() {
 		if !n.up {
-			w.boot(n)
+			w.startProcess(n)
 		}
 	})
 }
 
-// drain takes a node off the list, lets it serve on for a while, and starts it again.
+// drain removes a node from the list, lets it serve for drainTime, and restarts it.
 func (w *budgetWorld) drain(n *budgetNode) {
 	if !n.up || n.draining {
 		return
@@ -234,12 +235,12 @@
 	n.draining = true
 	w.on(n, DrainStarted{})
 	w.listed = slices.DeleteFunc(w.listed, func(name string) bool { return name == n.name })
-	w.tellList()
+	w.announceList()
 	w.later(n, drainTime, func() { w.kill(n) })
 }
 
-// fault brings one trouble about.
-func (w *budgetWorld) fault() {
+// injectFault causes one random fault.
+func (w *budgetWorld) injectFault() {
 	switch w.random.IntN(6) {
 	case 0:
 		w.kill(w.nodes[w.random.IntN(len(w.nodes))])
@@ -259,9 +260,9 @@
 		}
 	case 4: // nodes are added
 		for range max(1, len(w.nodes)/8) {
-			w.add()
+			w.addNode()
 		}
-	case 5: // a third of the nodes hears of no change for a while
+	case 5: // a third of the nodes gets no list changes for 2 to 9 s
 		for _, n := range w.nodes {
 			if w.random.IntN(3) == 0 {
 				w.cut(n, w.between(2*time.Second, 9*time.Second))
@@ -274,11 +275,11 @@
 	n.cut = true
 	w.after(span, func() {
 		n.cut = false
-		w.later(n, 0, func() { w.hear(n) })
+		w.later(n, 0, func() { w.deliverList(n) })
 	})
 }
 
-// count counts the times of one window.
+// count returns the number of times that lie in the window that begins at from.
 func (w *budgetWorld) count(sorted []time.Time, from time.Time) int {
 	first, _ := slices.BinarySearchFunc(sorted, from, time.Time.Compare)
 	last, _ := slices.BinarySearchFunc(sorted, from.Add(w.settings.Span()), time.Time.Compare)
@@ -286,9 +287,9 @@
 	return last - first
 }
 
-// allowed is the bound on the repeats of all nodes in one window: a share of the requests in
-// it, in the one before, or in the one half a window before, and the slack.
-func (w *budgetWorld) allowed(from time.Time) float64 {
+// maxRetries returns the bound on the retries of all nodes in one window: the slack plus a share of
+// the requests in this window, the one before or the one half a window before, whichever has most.
+func (w *budgetWorld) maxRetries(from time.Time) float64 {
 	most := 0
 	for _, earlier := range []time.Duration{0, w.settings.Span() / 2, w.settings.Span()} {
 		most = max(most, w.count(w.requests, from.Add(-earlier)))
@@ -297,29 +298,29 @@
 	return w.settings.Ratio*float64(most) + w.settings.Slack
 }
 
-// run lets callers come and faults happen, and checks every window.
+// run simulates callers and faults and checks every window.
 func (w *budgetWorld) run(faults time.Duration) {
 	w.after(10*time.Second, func() {
-		w.every(time.Second/time.Duration(budgetRate*len(w.nodes)), w.come)
-		w.fail()
+		w.every(time.Second/time.Duration(budgetRate*len(w.nodes)), w.sendRequest)
+		w.changeFailure()
 		if faults > 0 {
-			w.every(faults, w.fault)
+			w.every(faults, w.injectFault)
 		}
 	})
-	w.runUntil(start.Add(10*time.Second + budgetLife))
+	w.runUntil(start.Add(10*time.Second + simDuration))
 	fullest, at := 0.0, start
-	for _, from := range w.repeats {
-		if part := float64(w.count(w.repeats, from)) / w.allowed(from); part > fullest {
+	for _, from := range w.retries {
+		if part := float64(w.count(w.retries, from)) / w.maxRetries(from); part > fullest {
 			fullest, at = part, from
 		}
 	}
-	w.Check(fullest <= 1, qt.IsTrue, qt.Commentf("%d repeats in the window from %v, %v are allowed", w.count(w.repeats, at), at.Sub(start), w.allowed(at)))
-	w.Logf("%d requests, %d answered, %d repeats, %d refused one though there was room; the fullest window had %.2f of its bound",
-		len(w.requests), w.answered, len(w.repeats), w.starved, fullest)
+	w.Check(fullest <= 1, qt.IsTrue, qt.Commentf("%d retries in the window from %v, %v are allowed", w.count(w.retries, at), at.Sub(start), w.maxRetries(at)))
+	w.Logf("%d requests, %d answered, %d retries, %d retries refused although the bound allowed them; the fullest window had %.2f of its bound",
+		len(w.requests), w.answered, len(w.retries), w.denied, fullest)
 }
 
-// TestRepeatsAcrossNodes guards against repeats of all nodes together beyond the retry budget
-// while a pool fails and nodes are killed, drained, added, or hear nothing of the others.
+// TestRepeatsAcrossNodes guards against nodes that together exceed the retry budget while a pool
+// fails and nodes are killed, drained, added, or get no changes to the list of nodes.
 func TestRepeatsAcrossNodes(t *testing.T) {
 	for _, test := range []struct {
 		nodes  int
--- a/internal/chuterelay/callerwait_test.go
+++ b/internal/chuterelay/callerwait_test.go
@@ -13,7 +13,7 @@
 
 // patient is a streamed request whose caller says how long it waits.
 func patient(handle uint64, wait time.Duration) Submission {
-	s := stream(handle, chuteroute.Resumable)
+	s := streamRequest(handle, chuteroute.Resumable)
 	s.CallerWait = wait
 
 	return s
@@ -43,11 +43,11 @@
 		expectNo[Refuse](n)
 		var order []string
 		for !slices.Contains(order, "r2") {
-			calls := take[RunCall](n)
+			calls := takeAll[RunCall](n)
 			n.Assert(calls, qt.Not(qt.HasLen), 0)
 			for _, call := range calls {
 				order = append(order, requestsOf(call.Call)...)
-				n.answer(call)
+				n.answerCall(call)
 			}
 		}
 		n.Assert(slices.Index(order, "r3") < slices.Index(order, "r2"), qt.IsTrue, qt.Commentf("%v", order))
@@ -60,15 +60,15 @@
 		for handle, wait := range []time.Duration{6 * time.Second, 3500 * time.Millisecond} {
 			n.on(Arrived{Submission: patient(uint64(handle+1), wait)})
 		}
-		asks := take[RequestJob](n)
+		asks := takeAll[RequestJob](n)
 		n.on(JobFailed{JobRequestID: asks[1].JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 3 * time.Second})
-		n.Assert(only[Refuse](n).Handle, qt.Equals, uint64(2))
+		n.Assert(takeOne[Refuse](n).Handle, qt.Equals, uint64(2))
 		n.on(Arrived{Submission: patient(3, 6*time.Second)})
 		expectNo[Refuse](n)
 		n.on(JobFailed{JobRequestID: asks[0].JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 3 * time.Second})
-		only[Refuse](n)
+		takeOne[Refuse](n)
 		n.on(Arrived{Submission: patient(4, 6*time.Second)})
-		n.Assert(only[Refuse](n).Handle, qt.Equals, uint64(4))
+		n.Assert(takeOne[Refuse](n).Handle, qt.Equals, uint64(4))
 	})
 
 	t.Run("callers whose patience differs a little are not taken for such", func(t *testing.T) {
--- a/internal/chuterelay/calltimes_test.go
+++ b/internal/chuterelay/calltimes_test.go
@@ -12,12 +12,12 @@
 // serve brings a request to its first event, which comes after a time.
 func (n *node) serve(handle uint64, took time.Duration) {
 	n.Helper()
-	s := stream(handle, chuteroute.Resumable)
+	s := streamRequest(handle, chuteroute.Resumable)
 	s.Deadline = n.now.Add(6 * time.Second)
-	sent := n.sent(s)
+	sent := n.submit(s)
 	n.pass(took)
 	n.on(AttemptBegan{Handle: sent.Handle, Attempt: sent.Attempt})
-	n.ends(sent, EndAnswered)
+	n.endCall(sent, EndAnswered)
 	n.effects = nil
 }
 
@@ -28,7 +28,7 @@
 		// others although they could be on time.
 		n := newNode(t)
 		rest := func() time.Duration {
-			s := stream(99, chuteroute.Resumable)
+			s := streamRequest(99, chuteroute.Resumable)
 
 			return n.state.callTimes.expected(request{Submission: s})
 		}
@@ -64,14 +64,14 @@
 		// still be on time come to the second stage's queue one after the other. Its
 		// results would run out there, and have been made in vain.
 		n := newNode(t)
-		late := stream(1, chuteroute.Resumable)
+		late := streamRequest(1, chuteroute.Resumable)
 		late.Pipeline.Aim = time.Millisecond
 		n.on(Arrived{Submission: late})
-		first := only[RunCall](n)
+		first := takeOne[RunCall](n)
 		n.Assert(first.Call.Jobs[0].TargetAt, qt.Equals, n.now.Add(time.Millisecond))
 		n.pass(200 * time.Millisecond)
-		n.answer(first)
-		second := only[RunCall](n)
+		n.answerCall(first)
+		second := takeOne[RunCall](n)
 		n.Assert(n.state.collector.IsLate(second.Call.Jobs[0], n.now), qt.IsFalse)
 	})
 }
@@ -82,12 +82,12 @@
 	waiting := func(t *testing.T) (*node, Submission) {
 		n := newNode(t)
 		for i := range uint64(8) {
-			full := stream(10+i, chuteroute.Resumable)
+			full := streamRequest(10+i, chuteroute.Resumable)
 			full.Parts = []int{8, 0}
 			n.on(Arrived{Submission: full})
 		}
 		n.effects = nil
-		s := stream(1, chuteroute.Resumable)
+		s := streamRequest(1, chuteroute.Resumable)
 		s.Pipeline.Patience = 2 * time.Second
 		s.Pipeline.Aim = time.Second
 
@@ -101,7 +101,7 @@
 			n.pass(queueCheckInterval)
 			n.on(Ticked{})
 		}
-		refused := take[Refuse](n)
+		refused := takeAll[Refuse](n)
 		told := false
 		for _, r := range refused {
 			if r.Handle == 1 {
@@ -115,7 +115,7 @@
 
 	t.Run("the stages of a stream that has begun have until the deadline", func(t *testing.T) {
 		c := qt.New(t)
-		r := request{Submission: stream(1, chuteroute.Resumable), callerLeavesAt: start.Add(2 * time.Second)}
+		r := request{Submission: streamRequest(1, chuteroute.Resumable), callerLeavesAt: start.Add(2 * time.Second)}
 		c.Assert(r.answerBy(), qt.Equals, start.Add(2*time.Second))
 		r.answerBegun = true
 		c.Assert(r.answerBy(), qt.Equals, r.Deadline)
--- a/internal/chuterelay/evacuate_sim_test.go
+++ b/internal/chuterelay/evacuate_sim_test.go
@@ -150,7 +150,7 @@
 			continue
 		}
 		s.handles++
-		request := plain(s.handles, chuteroute.Repeatable)
+		request := plainRequest(s.handles, chuteroute.Repeatable)
 		request.Deadline = s.now.Add(time.Second)
 		for _, effect := range n.on(s.now, Arrived{Submission: request}) {
 			if send, ok := effect.(Send); ok {
--- a/internal/chuterelay/evacuate_test.go
+++ b/internal/chuterelay/evacuate_test.go
@@ -16,7 +16,7 @@
 	n.Helper()
 	for range 30 {
 		*handle++
-		n.Assert(n.sent(plain(*handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, zone)
+		n.Assert(n.submit(plainRequest(*handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, zone)
 	}
 }
 
@@ -25,10 +25,10 @@
 		n := withFarZone(t)
 		handle := uint64(0)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
-		n.Assert(only[LogEvacuation](n), qt.Equals, LogEvacuation{Zone: "z2", Evacuated: true})
+		n.Assert(takeOne[LogEvacuation](n), qt.Equals, LogEvacuation{Zone: "z2", Evacuated: true})
 		n.expectSentTo("z1", &handle)
 		n.on(ZonesEvacuated{})
-		n.Assert(only[LogEvacuation](n), qt.Equals, LogEvacuation{Zone: "z2"})
+		n.Assert(takeOne[LogEvacuation](n), qt.Equals, LogEvacuation{Zone: "z2"})
 		n.untilFar(&handle)
 	})
 
@@ -56,18 +56,18 @@
 		// off in place of that, the rest must come from another zone.
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
-		sent := n.sent(stream(1, chuteroute.Resumable))
+		sent := n.submit(streamRequest(1, chuteroute.Resumable))
 		n.Assert(sent.Upstream.Zone, qt.Equals, "z2")
 		n.on(AttemptBegan{Handle: 1, Attempt: sent.Attempt})
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		expectNo[CancelSend](n)
-		n.ends(sent, EndBroken)
+		n.endCall(sent, EndBroken)
 		for range 2 {
-			for _, call := range n.makeParts() {
+			for _, call := range n.answerParts() {
 				n.Assert(call.Upstream.Zone, qt.Equals, "z1")
 			}
 		}
-		again := only[Send](n)
+		again := takeOne[Send](n)
 		n.Assert(again.Upstream.Zone, qt.Equals, "z1")
 		n.Assert(again.Resume, qt.IsTrue)
 	})
@@ -75,11 +75,11 @@
 	t.Run("an unrepeatable call that runs there is left alone", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
-		sent := n.sent(plain(1, chuteroute.Unrepeatable))
+		sent := n.submit(plainRequest(1, chuteroute.Unrepeatable))
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		expectNo[CancelSend](n)
-		n.ends(sent, EndAnswered)
-		only[Deliver](n)
+		n.endCall(sent, EndAnswered)
+		takeOne[Deliver](n)
 	})
 
 	t.Run("parts that wait at a collector go to another zone at once", func(t *testing.T) {
@@ -87,13 +87,13 @@
 		// wait for them must not take the first that comes free there.
 		n := withFarZone(t)
 		n.on(Arrived{Submission: many(1)})
-		first := take[RunCall](n)
+		first := takeAll[RunCall](n)
 		n.Assert(first, qt.HasLen, 8)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		for _, call := range first {
-			n.answer(call)
+			n.answerCall(call)
 		}
-		for _, call := range take[RunCall](n) {
+		for _, call := range takeAll[RunCall](n) {
 			n.Assert(call.Upstream.Zone, qt.Equals, "z1")
 		}
 	})
@@ -101,14 +101,14 @@
 	t.Run("results that lie there are used and not given back by a call", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
-		sent := n.sent(stream(1, chuteroute.Resumable))
-		take[FreeResults](n) // those of the first stage, before the zone was evacuated
+		sent := n.submit(streamRequest(1, chuteroute.Resumable))
+		takeAll[FreeResults](n) // those of the first stage, before the zone was evacuated
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
-		n.ends(sent, EndErrored)
-		again := only[Send](n)
+		n.endCall(sent, EndErrored)
+		again := takeOne[Send](n)
 		n.Assert(again.Upstream.Zone, qt.Equals, "z1")
 		n.Assert(again.Inputs, qt.DeepEquals, sent.Inputs)
-		n.ends(again, EndAnswered)
+		n.endCall(again, EndAnswered)
 		expectNo[FreeResults](n)
 	})
 
@@ -117,14 +117,14 @@
 		handle := uint64(0)
 		far := n.untilFar(&handle)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
-		n.ends(far, EndUnreachable)
+		n.endCall(far, EndUnreachable)
 		expectNo[Probe](n)
 	})
 
 	t.Run("with all zones evacuated a request is refused at once, and truly not run", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1", "z2"}})
-		n.on(Arrived{Submission: plain(1, chuteroute.Unrepeatable)})
+		n.on(Arrived{Submission: plainRequest(1, chuteroute.Unrepeatable)})
 		refusal := n.expectRefused(RefusedNotRun)
 		n.Assert(refusal.RetryAfter > 0, qt.IsTrue)
 		expectNo[Send](n)
@@ -133,7 +133,7 @@
 	t.Run("a request whose stages run is refused when the last zone is evacuated", func(t *testing.T) {
 		// Held on, it would wait until its caller leaves.
 		n := withFarZone(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		n.on(ZonesEvacuated{Zones: []string{"z1", "z2"}})
 		n.expectRefused(RefusedNotRun)
 	})
@@ -145,14 +145,14 @@
 			{ID: "p", Name: "p", Pool: partPool, Zone: "z2", Slots: 8, State: chutefleet.StateReady},
 		}})
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		n.expectRefused(RefusedNotRun)
 	})
 }
 
 // many is a request with more parts in its first stage than the whole pool takes at once.
 func many(handle uint64) Submission {
-	s := stream(handle, chuteroute.Resumable)
+	s := streamRequest(handle, chuteroute.Resumable)
 	s.Parts = []int{100, 1}
 	s.Deadline = start.Add(time.Minute)
 	s.Pipeline.Aim = time.Minute
@@ -169,10 +169,10 @@
 			Request: "r", Pool: partPool, Shard: "z2", Zone: "z2", Parts: 3, Key: "k",
 			TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
 		}})
-		for _, call := range take[RunCall](n) {
+		for _, call := range takeAll[RunCall](n) {
 			n.Assert(call.Upstream.Zone, qt.Equals, "z1")
-			n.answer(call)
+			n.answerCall(call)
 		}
-		n.Assert(only[ReturnResults](n).Results, qt.HasLen, 3)
+		n.Assert(takeOne[ReturnResults](n).Results, qt.HasLen, 3)
 	})
 }
--- a/internal/chuterelay/harness_test.go
+++ b/internal/chuterelay/harness_test.go
@@ -22,7 +22,7 @@
 	state   State
 	now     time.Time
 	effects []Effect
-	// handles counts the requests of repeats.
+	// handles is the last handle that countRetries has assigned.
 	handles uint64
 }
 
@@ -34,7 +34,8 @@
 
 var self = Peer{Name: "n1", Zone: "z1", Address: "n1:1", Power: 1}
 
-// newNode returns a node with a configuration, two upstreams a pool, and itself as the only node.
+// newNode returns a node that has a configuration and two upstreams per pool and is the only
+// listed node.
 func newNode(t testing.TB) *node {
 	t.Helper()
 	n := &node{C: qt.New(t), now: start.Add(-time.Minute), state: NewState(Settings{
@@ -74,20 +75,20 @@
 	return all
 }
 
-// on reduces one event; its effects are added to those not yet looked at.
+// on reduces one event and appends its effects to those not taken yet.
 func (n *node) on(e Event) {
 	var effects []Effect
 	n.state, effects = Reduce(n.state, n.now, e)
 	n.effects = append(n.effects, effects...)
 }
 
-// pass lets time go by.
+// pass advances the node's clock.
 func (n *node) pass(d time.Duration) {
 	n.now = n.now.Add(d)
 }
 
-// plain is a request to a plain service.
-func plain(handle uint64, repeat chuteroute.Repeatability) Submission {
+// plainRequest returns a request for a plain service, without stages.
+func plainRequest(handle uint64, repeat chuteroute.Repeatability) Submission {
 	return Submission{
 		Handle: handle, ID: fmt.Sprint("r", handle), Deadline: start.Add(3 * time.Second),
 		Pipeline: chuteroute.Pipeline{
@@ -97,8 +98,8 @@
 	}
 }
 
-// stream is a streamed request with two stages, one after the other.
-func stream(handle uint64, repeat chuteroute.Repeatability) Submission {
+// streamRequest returns a streamed request with two stages, one after the other.
+func streamRequest(handle uint64, repeat chuteroute.Repeatability) Submission {
 	return Submission{
 		Handle: handle, ID: fmt.Sprint("r", handle), Deadline: start.Add(6 * time.Second),
 		Parts: []int{1, 2}, PartKey: "k", PromptTokens: 1000, Affinity: "s",
@@ -113,8 +114,8 @@
 	}
 }
 
-// take removes and returns the effects of one type.
-func take[E Effect](n *node) []E {
+// takeAll removes and returns the effects of one type.
+func takeAll[E Effect](n *node) []E {
 	var taken []E
 	var rest []Effect
 	for _, effect := range n.effects {
@@ -129,38 +130,38 @@
 	return taken
 }
 
-// only removes and returns the one effect of a type.
-func only[E Effect](n *node) E {
+// takeOne removes and returns the only effect of a type; it fails if there are none or several.
+func takeOne[E Effect](n *node) E {
 	n.Helper()
-	taken := take[E](n)
+	taken := takeAll[E](n)
 	n.Assert(taken, qt.HasLen, 1)
 
 	return taken[0]
 }
 
-// expectNo fails if there is an effect of the type.
+// expectNo fails if an effect of the type is present.
 func expectNo[E Effect](n *node) {
 	n.Helper()
-	n.Assert(take[E](n), qt.HasLen, 0)
+	n.Assert(takeAll[E](n), qt.HasLen, 0)
 }
 
-// ends reports how a call ended.
-func (n *node) ends(s Send, end AttemptEnd) {
+// endCall reports how a call ended.
+func (n *node) endCall(s Send, end AttemptEnd) {
 	n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: end, HasAnswer: end == EndAnswered || end == EndErrored})
 }
 
-// makeParts answers all calls with parts that are under way.
-func (n *node) makeParts() []RunCall {
-	calls := take[RunCall](n)
+// answerParts answers all running batched calls and returns them.
+func (n *node) answerParts() []RunCall {
+	calls := takeAll[RunCall](n)
 	for _, call := range calls {
-		n.answer(call)
+		n.answerCall(call)
 	}
 
 	return calls
 }
 
-// answer ends one call with a result for each part.
-func (n *node) answer(call RunCall) {
+// answerCall ends a batched call with one result per part.
+func (n *node) answerCall(call RunCall) {
 	var ends []chutebatch.PartOutcome
 	for _, p := range call.Call.Parts {
 		ends = append(ends, chutebatch.PartOutcome{Ref: fmt.Sprintf("%s/%d.%d", call.Upstream.ID, p.Job, p.Index)})
@@ -168,21 +169,21 @@
 	n.on(CallEnded{ID: call.Call.ID, End: chutebatch.CallAnswered, PartEnds: ends, Took: 160 * time.Millisecond})
 }
 
-// sent brings a request up to its call and returns that.
-func (n *node) sent(s Submission) Send {
+// submit delivers a request, completes its stages and returns the call that is sent.
+func (n *node) submit(s Submission) Send {
 	n.Helper()
 	n.on(Arrived{Submission: s})
 	for range s.Pipeline.Stages {
-		n.makeParts()
+		n.answerParts()
 	}
 
-	return only[Send](n)
+	return takeOne[Send](n)
 }
 
-// expectRefused fails unless the caller hears exactly this kind.
+// expectRefused fails unless the caller gets one refusal, of this kind, and no request is left.
 func (n *node) expectRefused(kind RefusalKind) Refusal {
 	n.Helper()
-	r := only[Refuse](n)
+	r := takeOne[Refuse](n)
 	n.Assert(r.Refusal.Kind, qt.Equals, kind)
 	n.Assert(n.state.InFlight(), qt.Equals, 0)
 
--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -20,10 +20,10 @@
 func TestLimitTold(t *testing.T) {
 	// Guards against hundreds of nodes that each find out about a limit by a call of their own.
 	n := newNode(t)
-	n.on(Arrived{Submission: plain(1, chuteroute.Repeatable)})
-	sent := only[Send](n)
+	n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
+	sent := takeOne[Send](n)
 	n.answerLimited(sent, Limit{Named: true, PerSecond: 2})
-	told := only[AnnounceLimit](n).Limit
+	told := takeOne[AnnounceLimit](n).Limit
 
 	t.Run("a limit that an answer names is told", func(t *testing.T) {
 		c := qt.New(t)
@@ -40,7 +40,7 @@
 		limit, limited := other.state.Fleet().Limit(told.Upstream)
 		c.Assert(limited, qt.IsTrue)
 		c.Assert(limit.PerSecond, qt.Equals, 2.0)
-		c.Assert(take[AnnounceLimit](other), qt.HasLen, 0)
+		c.Assert(takeAll[AnnounceLimit](other), qt.HasLen, 0)
 
 		told.Limited = false
 		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{told}})
@@ -67,7 +67,7 @@
 	n.on(Arrived{Submission: many(1)})
 	calls := map[string]int{}
 	for range 5 {
-		for _, call := range take[RunCall](n) {
+		for _, call := range takeAll[RunCall](n) {
 			calls[call.Upstream.ID]++
 			n.pass(100 * time.Millisecond)
 			limit := &Limit{}
@@ -96,11 +96,11 @@
 		}}})
 	}
 	for handle := range uint64(2) {
-		n.sent(stream(handle+1, chuteroute.Repeatable))
+		n.submit(streamRequest(handle+1, chuteroute.Repeatable))
 	}
-	n.on(Arrived{Submission: stream(3, chuteroute.Repeatable)})
-	refusal := only[Refuse](n).Refusal
-	n.Assert(take[RequestJob](n), qt.HasLen, 0)
+	n.on(Arrived{Submission: streamRequest(3, chuteroute.Repeatable)})
+	refusal := takeOne[Refuse](n).Refusal
+	n.Assert(takeAll[RequestJob](n), qt.HasLen, 0)
 	n.Assert(refusal.Kind, qt.Equals, RefusedNotRun)
 	n.Assert(refusal.Reason, qt.Contains, "2 Limited")
 	n.Assert(refusal.RetryAfter >= maxLimitRetryAfter/2, qt.IsTrue, qt.Commentf("%v", refusal.RetryAfter))
--- a/internal/chuterelay/loads_test.go
+++ b/internal/chuterelay/loads_test.go
@@ -14,15 +14,15 @@
 func TestLoadReports(t *testing.T) {
 	t.Run("what answers say of loads goes along with the next job, once", func(*testing.T) {
 		n := collectedElsewhere(t)
-		n.on(Arrived{Submission: plain(1, chuteroute.Repeatable)})
-		sent := only[Send](n)
+		n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
+		sent := takeOne[Send](n)
 		n.on(AttemptEnded{
 			Handle: sent.Handle, Attempt: sent.Attempt, End: EndAnswered, HasAnswer: true, Load: &Load{Running: 7, Waiting: 2},
 		})
 		n.pass(100 * time.Millisecond)
 		n.on(Arrived{Submission: n.of("w", 2)})
 		n.on(Arrived{Submission: n.of("w", 3)})
-		asks := take[RequestJob](n)
+		asks := takeAll[RequestJob](n)
 		// Nine ran or waited there with the call that has ended since.
 		n.Assert(asks[0].Loads, qt.DeepEquals, []chutefleet.LoadReport{
 			{Upstream: sent.Upstream.ID, Calls: 8, Age: 100 * time.Millisecond},
@@ -35,8 +35,8 @@
 		n.on(JobReceived{Token: 7, Job: chutebatch.Job{
 			Request: "r", Pool: partPool, Parts: 1, TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
 		}, Loads: []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}, {Upstream: enginePool + "1", Calls: 1}}})
-		n.makeParts()
-		n.Assert(only[ReturnResults](n).Loads, qt.DeepEquals, []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}})
+		n.answerParts()
+		n.Assert(takeOne[ReturnResults](n).Loads, qt.DeepEquals, []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}})
 	})
 
 	t.Run("a prompt does not go to the engine that holds it while that is crowded", func(*testing.T) {
@@ -45,15 +45,15 @@
 		for _, crowded := range []bool{false, true} {
 			n := collectedElsewhere(t)
 			n.on(Arrived{Submission: n.of("w", 1)})
-			n.on(JobDone{JobRequestID: only[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}})
-			holder := only[Send](n).Upstream.ID
+			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}})
+			holder := takeOne[Send](n).Upstream.ID
 			var told []chutefleet.LoadReport
 			if crowded {
 				told = []chutefleet.LoadReport{{Upstream: holder, Calls: 30, Age: 50 * time.Millisecond}}
 			}
 			n.on(Arrived{Submission: n.of("w", 2)})
-			n.on(JobDone{JobRequestID: only[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}, Loads: told})
-			n.Assert(only[Send](n).Upstream.ID == holder, qt.Equals, !crowded)
+			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}, Loads: told})
+			n.Assert(takeOne[Send](n).Upstream.ID == holder, qt.Equals, !crowded)
 		}
 	})
 }
--- a/internal/chuterelay/quarantine_sim_test.go
+++ b/internal/chuterelay/quarantine_sim_test.go
@@ -325,7 +325,7 @@
 func (w *simWorld) come(fingerprint, id string) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	n.handles++
-	s := plain(n.handles, chuteroute.Unrepeatable)
+	s := plainRequest(n.handles, chuteroute.Unrepeatable)
 	if len(fingerprint)%2 == 0 {
 		s.Pipeline.Repeat = chuteroute.Repeatable
 	}
--- a/internal/chuterelay/quarantine_test.go
+++ b/internal/chuterelay/quarantine_test.go
@@ -36,7 +36,7 @@
 // judged lets time go by until what was told is judged.
 func (n *node) judged() {
 	n.pass(time.Second)
-	if len(take[JudgeAt](n)) > 0 {
+	if len(takeAll[JudgeAt](n)) > 0 {
 		n.on(JudgeDue{})
 	}
 }
@@ -73,24 +73,24 @@
 		// to nobody, says truly that it has not run, and when coming back may help.
 		n := newNode(t)
 		n.elsewhere("p", "a", "b", "c")
-		n.on(Arrived{Submission: n.marked(plain(1, chuteroute.Unrepeatable), "p")})
+		n.on(Arrived{Submission: n.marked(plainRequest(1, chuteroute.Unrepeatable), "p")})
 		r := n.expectRefused(RefusedNotRun)
 		n.Assert(r.RetryAfter > time.Minute, qt.IsTrue)
 		expectNo[Send](n)
-		for _, note := range take[LogStep](n) {
+		for _, note := range takeAll[LogStep](n) {
 			n.Assert(note.Step, qt.Equals, StepRefused)
 		}
-		n.sent(n.marked(plain(2, chuteroute.Unrepeatable), "other"))
+		n.submit(n.marked(plainRequest(2, chuteroute.Unrepeatable), "other"))
 	})
 
 	t.Run("two ends elsewhere and an own one are enough, and that is told", func(t *testing.T) {
 		n := newNode(t)
 		n.elsewhere("p", "a", "b")
-		n.crashes(n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "p")))
+		n.crashes(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "p")))
 		n.expectRefused(RefusedFailed)
-		n.Assert(only[AnnounceCrash](n).Crash.Suspects[0].Fingerprint, qt.Equals, "p")
+		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects[0].Fingerprint, qt.Equals, "p")
 		n.judged()
-		n.Assert(only[AnnounceJudgement](n).Judgement.Verdict, qt.Equals, chutequarantine.VerdictQuarantined)
+		n.Assert(takeOne[AnnounceJudgement](n).Judgement.Verdict, qt.Equals, chutequarantine.VerdictQuarantined)
 		n.expectHeld("p", true)
 	})
 
@@ -107,57 +107,57 @@
 		n := newNode(t)
 		n.elsewhere("p", "a", "b", "c")
 		n.pass(chutequarantine.Life)
-		n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "p"))
+		n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "p"))
 	})
 
 	t.Run("its repeats by this node end with the verdict", func(t *testing.T) {
 		// The request may be repeated and has attempts left when the verdict falls.
 		n := newNode(t)
 		n.elsewhere("p", "a", "b")
-		first := n.sent(n.marked(plain(1, chuteroute.Repeatable), "p"))
+		first := n.submit(n.marked(plainRequest(1, chuteroute.Repeatable), "p"))
 		n.elsewhere("p", "c")
-		n.Assert(only[CancelSend](n).Attempt, qt.Equals, first.Attempt)
+		n.Assert(takeOne[CancelSend](n).Attempt, qt.Equals, first.Attempt)
 		n.expectRefused(RefusedFailed)
 		expectNo[Send](n)
 	})
 
 	t.Run("it ends while its stages run", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: n.marked(stream(1, chuteroute.Resumable), "p")})
+		n.on(Arrived{Submission: n.marked(streamRequest(1, chuteroute.Resumable), "p")})
 		n.elsewhere("p", "a", "b", "c")
 		n.expectRefused(RefusedNotRun)
-		n.makeParts()
+		n.answerParts()
 		expectNo[Send](n)
 	})
 
 	t.Run("a stream that has begun runs on, and is not resumed", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(n.marked(stream(1, chuteroute.Resumable), "p"))
+		s := n.submit(n.marked(streamRequest(1, chuteroute.Resumable), "p"))
 		n.on(AttemptBegan{Handle: s.Handle, Attempt: s.Attempt})
 		n.elsewhere("p", "a", "b", "c")
 		expectNo[CancelSend](n)
-		n.ends(s, EndBroken)
-		n.makeParts()
-		n.makeParts()
+		n.endCall(s, EndBroken)
+		n.answerParts()
+		n.answerParts()
 		expectNo[Send](n)
 		n.expectRefused(RefusedFailed)
 	})
 
 	t.Run("neither is one without stages", func(t *testing.T) {
 		n := newNode(t)
-		bare := stream(1, chuteroute.Resumable)
+		bare := streamRequest(1, chuteroute.Resumable)
 		bare.Pipeline.Stages, bare.Parts = nil, nil
-		s := n.sent(n.marked(bare, "p"))
+		s := n.submit(n.marked(bare, "p"))
 		n.on(AttemptBegan{Handle: s.Handle, Attempt: s.Attempt})
 		n.elsewhere("p", "a", "b", "c")
-		n.ends(s, EndBroken)
+		n.endCall(s, EndBroken)
 		expectNo[Send](n)
 		n.expectRefused(RefusedFailed)
 	})
 
 	t.Run("an upstream that was leaving has ended as it was told to", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		list := testUpstreams()
 		for i := range list {
 			list[i].State = chutefleet.StateLeaving
@@ -171,7 +171,7 @@
 		// Some upstreams never say that they leave: their entries go, they serve on for a
 		// while, and end.
 		n := newNode(t)
-		s := n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		n.relist(1)
 		n.crashes(s)
 		expectNo[AnnounceCrash](n)
@@ -179,7 +179,7 @@
 
 	t.Run("so has one that started again after it", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		n.on(AttemptEnded{Handle: s.Handle, Attempt: 0, Leaving: true})
 		n.state.fleet = n.state.fleet.WithLeaving(s.Upstream.ID)
 		n.restart(s.Upstream.Name)
@@ -190,22 +190,22 @@
 		// The connection went silent with the process. The list tells of a later start
 		// under the same name.
 		n := newNode(t)
-		s := n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		n.restart(s.Upstream.Name)
-		n.Assert(only[AnnounceCrash](n).Crash.Upstream, qt.Equals, s.Upstream.ID)
+		n.Assert(takeOne[AnnounceCrash](n).Crash.Upstream, qt.Equals, s.Upstream.ID)
 	})
 
 	t.Run("a connection that broke alone says nothing", func(t *testing.T) {
 		n := newNode(t)
-		n.ends(n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a")), EndBroken)
+		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndBroken)
 		expectNo[AnnounceCrash](n)
 	})
 
 	t.Run("an answer clears a request, at all nodes", func(t *testing.T) {
 		n := newNode(t)
 		n.elsewhere("a", "x", "y")
-		n.ends(n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a")), EndAnswered)
-		j := only[AnnounceJudgement](n).Judgement
+		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
+		j := takeOne[AnnounceJudgement](n).Judgement
 		n.Assert(j.Verdict, qt.Equals, chutequarantine.VerdictCleared)
 		n.Assert(j.Upstreams, qt.ContentEquals, []string{"x", "y"})
 		n.elsewhere("a", "z")
@@ -219,7 +219,7 @@
 
 	t.Run("a request that nothing speaks against tells nothing when it is answered", func(t *testing.T) {
 		n := newNode(t)
-		n.ends(n.sent(n.marked(plain(1, chuteroute.Unrepeatable), "a")), EndAnswered)
+		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
 		expectNo[AnnounceJudgement](n)
 	})
 }
@@ -244,17 +244,17 @@
 		for i, f := range []string{"a", "p", "b"} {
 			n.on(partsJob(n, uint64(i+1), f, 2))
 		}
-		n.answer(blocked)
-		only[ReturnResults](n)
-		shared := only[RunCall](n)
+		n.answerCall(blocked)
+		takeOne[ReturnResults](n)
+		shared := takeOne[RunCall](n)
 		n.Assert(shared.Call.Parts, qt.HasLen, 6)
 		n.callCrashes(shared)
-		n.Assert(only[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 3)
+		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 3)
 		n.relist(1)
 		ended := n.runAlone("p")
 		n.Assert(ended, qt.Equals, 1)
-		n.Assert(take[ReturnResults](n), qt.HasLen, 2)
-		n.Assert(only[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartUpstreamsEnded))
+		n.Assert(takeAll[ReturnResults](n), qt.HasLen, 2)
+		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartUpstreamsEnded))
 	})
 
 	t.Run("a peer's job is refused after the verdict, and taken back when it falls", func(t *testing.T) {
@@ -263,17 +263,17 @@
 		n.startCall(t, 9)
 		n.on(partsJob(n, 1, "p", 2))
 		n.elsewhere("p", "a", "b", "c")
-		n.Assert(only[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
+		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
 		n.on(partsJob(n, 2, "p", 2))
-		n.Assert(only[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
+		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
 	})
 
 	t.Run("a caller whose stage ended upstreams hears it at once", func(t *testing.T) {
 		n := newNode(t)
 		n.state.settings.Retries.Slack = 1000
-		n.on(Arrived{Submission: n.marked(stream(1, chuteroute.Resumable), "p")})
-		n.callCrashes(only[RunCall](n))
-		n.callCrashes(only[RunCall](n))
+		n.on(Arrived{Submission: n.marked(streamRequest(1, chuteroute.Resumable), "p")})
+		n.callCrashes(takeOne[RunCall](n))
+		n.callCrashes(takeOne[RunCall](n))
 		r := n.expectRefused(RefusedNotRun)
 		n.Assert(r.RetryAfter, qt.Equals, crashRetryAfter)
 		expectNo[RunCall](n)
@@ -288,8 +288,8 @@
 			for i, f := range order {
 				n.on(partsJob(n, uint64(i+1), f, 2))
 			}
-			n.answer(blocked)
-			n.Assert(only[RunCall](n).Call.Parts, qt.HasLen, 2)
+			n.answerCall(blocked)
+			n.Assert(takeOne[RunCall](n).Call.Parts, qt.HasLen, 2)
 		})
 	}
 
@@ -297,9 +297,9 @@
 		n := newNode(t)
 		n.state.settings.Retries.Slack = 1000
 		n.on(partsJob(n, 1, "p", 2))
-		lost := only[RunCall](n)
+		lost := takeOne[RunCall](n)
 		n.restart(lost.Upstream.Name)
-		n.Assert(only[AnnounceCrash](n).Crash.Suspects[0].Fingerprint, qt.Equals, "p")
+		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects[0].Fingerprint, qt.Equals, "p")
 	})
 }
 
@@ -308,7 +308,7 @@
 	t.Helper()
 	n.on(partsJob(n, token, fmt.Sprint("busy", token), 1))
 
-	return only[RunCall](n)
+	return takeOne[RunCall](n)
 }
 
 // runAlone answers calls until none is left, but those with parts of a poison request end
@@ -316,7 +316,7 @@
 func (n *node) runAlone(poison string) int {
 	n.Helper()
 	ended := 0
-	for calls := take[RunCall](n); len(calls) > 0; calls = take[RunCall](n) {
+	for calls := takeAll[RunCall](n); len(calls) > 0; calls = takeAll[RunCall](n) {
 		for _, call := range calls {
 			deadly := false
 			for _, j := range call.Call.Jobs {
@@ -324,13 +324,13 @@
 				deadly = deadly || j.Fingerprint == poison
 			}
 			if !deadly {
-				n.answer(call)
+				n.answerCall(call)
 
 				continue
 			}
 			ended++
 			n.callCrashes(call)
-			n.Assert(only[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 1)
+			n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 1)
 			n.relist(1 + ended)
 		}
 	}
--- a/internal/chuterelay/restart_test.go
+++ b/internal/chuterelay/restart_test.go
@@ -34,49 +34,49 @@
 		// A certificate was on its way when the service's process ended. Nobody knows
 		// whether it was issued; its caller must not be told that it was not.
 		n := newNode(t)
-		s := n.sent(plain(1, chuteroute.Unrepeatable))
+		s := n.submit(plainRequest(1, chuteroute.Unrepeatable))
 		n.restart(s.Upstream.Name)
 		n.expectRefused(RefusedFailed)
 		expectNo[Send](n)
-		n.Assert(only[CancelSend](n).Attempt, qt.Equals, s.Attempt)
+		n.Assert(takeOne[CancelSend](n).Attempt, qt.Equals, s.Attempt)
 	})
 
 	t.Run("a repeatable call goes on elsewhere at once", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(plain(1, chuteroute.Repeatable))
+		s := n.submit(plainRequest(1, chuteroute.Repeatable))
 		n.restart(s.Upstream.Name)
-		n.Assert(only[Send](n).Upstream.ID, qt.Not(qt.Equals), s.Upstream.ID)
+		n.Assert(takeOne[Send](n).Upstream.ID, qt.Not(qt.Equals), s.Upstream.ID)
 	})
 
 	t.Run("connections to the process before are dropped", func(t *testing.T) {
 		n := newNode(t)
 		n.restart("engines0")
-		n.Assert(only[DropConnections](n).Address, qt.Equals, "engines0:1")
+		n.Assert(takeOne[DropConnections](n).Address, qt.Equals, "engines0:1")
 	})
 
 	t.Run("results that it held are made again before anything asks for them", func(t *testing.T) {
 		// The first stage's result lay at the upstream; the second stage waits for its
 		// turn. Without this its call would find the input gone, at the price of a call.
 		n := newNode(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		first := only[RunCall](n)
-		n.answer(first)
-		second := only[RunCall](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		first := takeOne[RunCall](n)
+		n.answerCall(first)
+		second := takeOne[RunCall](n)
 		n.Assert(second.Call.Jobs[0].InputUpstreams, qt.DeepEquals, []string{first.Upstream.ID})
 		n.restart(first.Upstream.Name)
-		again := only[RunCall](n)
+		again := takeOne[RunCall](n)
 		n.Assert(again.Call.Jobs[0].Stage, qt.Equals, 0)
-		n.answer(again)
-		n.makeParts()
-		n.Assert(only[Send](n).Inputs, qt.HasLen, 2)
+		n.answerCall(again)
+		n.answerParts()
+		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 2)
 	})
 
 	t.Run("they are not made again beyond the retry budget", func(t *testing.T) {
 		n := newNode(t)
 		n.state.settings.Retries = chutebudget.Settings{}
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		first := only[RunCall](n)
-		n.answer(first)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		first := takeOne[RunCall](n)
+		n.answerCall(first)
 		n.restart(first.Upstream.Name)
 		n.expectRefused(RefusedNotRun)
 	})
@@ -90,7 +90,7 @@
 			Request: "r", Pool: partPool, Parts: 1, Inputs: []string{"a/1"}, InputUpstreams: []string{"parts0"},
 			TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(time.Second),
 		}})
-		n.Assert(only[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartInputGone))
+		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartInputGone))
 		expectNo[RunCall](n)
 	})
 
@@ -98,31 +98,31 @@
 		// The results of a request that goes on holding them filled the room of both
 		// upstreams. One starts again; parts for its room need not wait until then.
 		n := newNode(t)
-		big := stream(1, chuteroute.Resumable)
+		big := streamRequest(1, chuteroute.Resumable)
 		big.Pipeline.Stages = []chuteroute.Stage{{Pool: partPool, ResultBytes: 1 << 19}}
 		big.Parts = []int{4}
 		n.on(Arrived{Submission: big})
-		n.makeParts()
-		n.makeParts()
-		only[Send](n)
+		n.answerParts()
+		n.answerParts()
+		takeOne[Send](n)
 		next := big
 		next.Handle, next.ID = 2, "r2"
 		n.on(Arrived{Submission: next})
 		expectNo[RunCall](n)
 		ids := n.restart("parts0")
-		n.Assert(only[RunCall](n).Upstream.ID, qt.Equals, ids[0])
+		n.Assert(takeOne[RunCall](n).Upstream.ID, qt.Equals, ids[0])
 	})
 
 	t.Run("the end of a call to the process before is not taken", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		lost := only[RunCall](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		lost := takeOne[RunCall](n)
 		n.restart(lost.Upstream.Name)
-		again := only[RunCall](n)
-		n.answer(lost)
+		again := takeOne[RunCall](n)
+		n.answerCall(lost)
 		expectNo[RunCall](n)
-		n.answer(again)
-		n.Assert(only[RunCall](n).Call.Jobs[0].Stage, qt.Equals, 1)
+		n.answerCall(again)
+		n.Assert(takeOne[RunCall](n).Call.Jobs[0].Stage, qt.Equals, 1)
 	})
 
 	t.Run("a word on the process before comes too late to change anything", func(t *testing.T) {
@@ -139,7 +139,7 @@
 func TestUnreadableEntry(t *testing.T) {
 	t.Run("calls under way at an upstream go on while its entry can't be read", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(plain(1, chuteroute.Unrepeatable))
+		s := n.submit(plainRequest(1, chuteroute.Unrepeatable))
 		list := testUpstreams()
 		for i := range list {
 			if list[i].ID == s.Upstream.ID {
@@ -147,7 +147,7 @@
 			}
 		}
 		n.on(UpstreamsListed{Upstreams: list})
-		n.ends(s, EndAnswered)
-		only[Deliver](n)
+		n.endCall(s, EndAnswered)
+		takeOne[Deliver](n)
 	})
 }
--- a/internal/chuterelay/share_test.go
+++ b/internal/chuterelay/share_test.go
@@ -22,7 +22,7 @@
 
 // of returns a streamed request of a workspace, with one stage.
 func (n *node) of(workspace string, handle uint64) Submission {
-	s := stream(handle, chuteroute.Resumable)
+	s := streamRequest(handle, chuteroute.Resumable)
 	s.Workspace = chuteroute.Workspace{Name: workspace}
 	s.Pipeline.Stages = s.Pipeline.Stages[:1]
 	s.Parts = s.Parts[:1]
@@ -38,7 +38,7 @@
 	n := collectedElsewhere(t)
 	n.on(Arrived{Submission: n.of("loud", 1)})
 	n.on(JobFailed{
-		JobRequestID: only[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true,
+		JobRequestID: takeOne[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true,
 	})
 
 	t.Run("a refusal for the workspace's own queue tells when that is over", func(t *testing.T) {
@@ -47,20 +47,20 @@
 
 	t.Run("another workspace's request is taken in", func(*testing.T) {
 		n.on(Arrived{Submission: n.of("quiet", 2)})
-		only[RequestJob](n)
+		takeOne[RequestJob](n)
 		expectNo[Refuse](n)
 	})
 
 	t.Run("the loud one's next is refused at once", func(t *testing.T) {
 		n.on(Arrived{Submission: n.of("loud", 3)})
 		expectNo[RequestJob](n)
-		qt.New(t).Assert(only[Refuse](n).Refusal.RetryAfter, qt.Equals, 9*time.Second)
+		qt.New(t).Assert(takeOne[Refuse](n).Refusal.RetryAfter, qt.Equals, 9*time.Second)
 	})
 
 	t.Run("it is taken in again when its queue is told to be gone", func(*testing.T) {
 		n.pass(waitReportTTL)
 		n.on(Arrived{Submission: n.of("loud", 4)})
-		only[RequestJob](n)
+		takeOne[RequestJob](n)
 	})
 }
 
@@ -71,8 +71,8 @@
 	for i := range uint64(3 * maxWaitReports) {
 		n.pass(10 * time.Millisecond)
 		n.on(Arrived{Submission: n.of(string(rune('a'+i)), i+1)})
-		n.on(JobFailed{JobRequestID: only[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true})
-		take[Refuse](n)
+		n.on(JobFailed{JobRequestID: takeOne[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true})
+		takeAll[Refuse](n)
 	}
 	c.Assert(n.state.waitReports.Len() <= maxWaitReports+1, qt.IsTrue)
 }
--- a/internal/chuterelay/simclock_test.go
+++ b/internal/chuterelay/simclock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// simEvent is something that happens at a time of a simulation.
+// simEvent is a function that runs at a simulated time.
 type simEvent struct {
 	at   time.Time
 	id   int
@@ -28,7 +28,7 @@
 	return last
 }
 
-// simClock is simulated time with what is to happen in it, drawn from a seed.
+// simClock holds the simulated time, the queue of events and a seeded random source.
 type simClock struct {
 	random *rand.Rand
 	now    time.Time
@@ -40,18 +40,18 @@
 	return &simClock{random: rand.New(rand.NewPCG(seed, 2)), now: start}
 }
 
-// after does something later.
+// after schedules a function to run after a delay.
 func (c *simClock) after(d time.Duration, what func()) {
 	c.events++
 	heap.Push(&c.queue, simEvent{at: c.now.Add(d), id: c.events, what: what})
 }
 
-// between draws a time.
+// between returns a random duration.
 func (c *simClock) between(least, most time.Duration) time.Duration {
 	return least + time.Duration(c.random.Int64N(int64(most-least)))
 }
 
-// every does something again and again, with pauses of a mean length.
+// every runs a function repeatedly, at intervals with the given mean.
 func (c *simClock) every(mean time.Duration, what func()) {
 	c.after(c.between(mean/2, mean+mean/2), func() {
 		what()
@@ -59,7 +59,7 @@
 	})
 }
 
-// runUntil lets happen what is due before a time.
+// runUntil runs the events that are due before a time.
 func (c *simClock) runUntil(until time.Time) {
 	for len(c.queue) > 0 && c.now.Before(until) {
 		e := heap.Pop(&c.queue).(simEvent)
--- a/internal/chuterelay/stages_test.go
+++ b/internal/chuterelay/stages_test.go
@@ -40,61 +40,61 @@
 func TestStages(t *testing.T) {
 	t.Run("each stage gets all results of the ones before it, and the call those of the last", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		first := n.makeParts()
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		first := n.answerParts()
 		n.Assert(first, qt.HasLen, 1)
 		n.Assert(first[0].Call.Jobs[0].Key, qt.Equals, "k")
-		second := n.makeParts()
+		second := n.answerParts()
 		n.Assert(second[0].Call.Parts, qt.HasLen, 2)
 		n.Assert(second[0].Call.Jobs[0].Inputs, qt.HasLen, 1)
-		n.Assert(only[Send](n).Inputs, qt.HasLen, 2)
+		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 2)
 	})
 
 	t.Run("results are freed as soon as all later stages have them", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		n.makeParts()
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		n.answerParts()
 		expectNo[FreeResults](n)
-		n.makeParts()
-		n.Assert(only[FreeResults](n).Refs, qt.HasLen, 1)
+		n.answerParts()
+		n.Assert(takeOne[FreeResults](n).Refs, qt.HasLen, 1)
 	})
 
 	t.Run("a stage without parts for the request is left out", func(t *testing.T) {
 		n := newNode(t)
-		s := stream(1, chuteroute.Resumable)
+		s := streamRequest(1, chuteroute.Resumable)
 		s.Parts = []int{0, 0}
 		n.on(Arrived{Submission: s})
-		n.Assert(only[Send](n).Inputs, qt.HasLen, 0)
+		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 0)
 	})
 
 	t.Run("heavy results are made beside the last of the other stages, not ahead of them", func(t *testing.T) {
 		// A draft has one heavy stage beside a chain of two. Made at once, its results
 		// would take an upstream's room while the chain runs, and keep others waiting.
 		n := newNode(t)
-		s := stream(1, chuteroute.Resumable)
+		s := streamRequest(1, chuteroute.Resumable)
 		s.Pipeline.Stages = append(s.Pipeline.Stages, chuteroute.Stage{Pool: partPool, ResultBytes: largeResult})
 		s.Parts = []int{1, 2, 1}
 		n.on(Arrived{Submission: s})
-		first := n.makeParts()
+		first := n.answerParts()
 		n.Assert(first, qt.HasLen, 1)
 		n.Assert(first[0].Call.Jobs[0].Stage, qt.Equals, 0)
 		stages := map[int]bool{}
-		for _, call := range n.makeParts() {
+		for _, call := range n.answerParts() {
 			for _, job := range call.Call.Jobs {
 				stages[job.Stage] = true
 			}
 		}
 		n.Assert(stages, qt.DeepEquals, map[int]bool{1: true, 2: true})
-		n.Assert(only[Send](n).Inputs, qt.HasLen, 3)
+		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 3)
 	})
 
 	t.Run("inputs that are gone at the engine are made again", func(t *testing.T) {
 		n := newNode(t)
-		s := n.sent(stream(1, chuteroute.Resumable))
-		n.ends(s, EndInputGone)
-		n.makeParts()
-		n.makeParts()
-		again := only[Send](n)
+		s := n.submit(streamRequest(1, chuteroute.Resumable))
+		n.endCall(s, EndInputGone)
+		n.answerParts()
+		n.answerParts()
+		again := takeOne[Send](n)
 		n.Assert(again.Resume, qt.IsFalse)
 	})
 }
@@ -104,18 +104,18 @@
 		// The node that collects the pool's parts froze. Its callers see no sign of
 		// life; this node takes over for its own requests.
 		n := withPeer(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		lost := only[RequestJob](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		lost := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: lost.JobRequestID, PeerLost: true})
 		expectNo[RequestJob](n)
-		n.Assert(n.makeParts(), qt.HasLen, 1)
+		n.Assert(n.answerParts(), qt.HasLen, 1)
 	})
 
 	t.Run("what it says after that is not taken", func(t *testing.T) {
 		// The collector wakes and hands out results that it no longer looks after.
 		n := withPeer(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		lost := only[RequestJob](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		lost := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: lost.JobRequestID, PeerLost: true})
 		n.effects = nil
 		n.on(made(lost))
@@ -124,14 +124,14 @@
 
 	t.Run("results of a collector that is gone are freed by this node", func(t *testing.T) {
 		n := withPeer(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		first := only[RequestJob](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		first := takeOne[RequestJob](n)
 		n.on(made(first))
-		second := only[RequestJob](n)
+		second := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: first.JobRequestID, PeerLost: true})
 		expectNo[FreeResults](n)
 		n.on(made(second))
-		n.Assert(only[FreeResults](n).Refs, qt.HasLen, 1)
+		n.Assert(takeOne[FreeResults](n).Refs, qt.HasLen, 1)
 	})
 
 	t.Run("it is asked again after a while", func(t *testing.T) {
@@ -151,14 +151,14 @@
 		n.on(JobReceived{Token: 8, Job: peerJob("busy", 8)})
 		n.on(JobReceived{Token: 9, Job: peerJob("busy", 8)})
 		n.on(JobReceived{Token: 1, Job: peerJob("theirs", 1)})
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		n.makeParts()
-		shared := take[RunCall](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		n.answerParts()
+		shared := takeAll[RunCall](n)
 		n.Assert(shared, qt.HasLen, 1)
 		n.Assert(shared[0].Call.Parts, qt.HasLen, 2)
 		n.effects = append(n.effects, shared[0])
-		n.makeParts()
-		given := take[ReturnResults](n)
+		n.answerParts()
+		given := takeAll[ReturnResults](n)
 		n.Assert(given[len(given)-1].Token, qt.Equals, uint64(1))
 		n.Assert(given[len(given)-1].Results, qt.HasLen, 1)
 	})
@@ -166,9 +166,9 @@
 	t.Run("a lease that ends frees its results", func(t *testing.T) {
 		n := newNode(t)
 		n.on(JobReceived{Token: 1, Job: peerJob("theirs", 3)})
-		n.makeParts()
+		n.answerParts()
 		n.on(JobCancelled{Token: 1})
-		n.Assert(only[FreeResults](n).Refs, qt.HasLen, 3)
+		n.Assert(takeOne[FreeResults](n).Refs, qt.HasLen, 3)
 		n.Assert(n.state.Idle(), qt.IsTrue)
 	})
 
@@ -176,7 +176,7 @@
 		n := newNode(t)
 		n.on(DrainStarted{})
 		n.on(JobReceived{Token: 1, Job: peerJob("theirs", 3)})
-		n.Assert(only[RejectJob](n).Leaving, qt.IsTrue)
+		n.Assert(takeOne[RejectJob](n).Leaving, qt.IsTrue)
 	})
 
 	t.Run("it hands waiting jobs back at once, and its own requests go to another node", func(t *testing.T) {
@@ -189,16 +189,16 @@
 			n.on(JobReceived{Token: token + 8, Job: peerJob("busy", 8)})
 		}
 		n.on(JobReceived{Token: 1, Job: peerJob("waits", 1)})
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		n.on(PeersListed{Peers: []Peer{self, other}})
 		n.on(DrainStarted{})
-		refused := only[RejectJob](n)
+		refused := takeOne[RejectJob](n)
 		n.Assert(refused.Token, qt.Equals, uint64(1))
 		n.Assert(refused.Leaving, qt.IsTrue)
-		n.Assert(only[RequestJob](n).Peer, qt.Equals, other)
+		n.Assert(takeOne[RequestJob](n).Peer, qt.Equals, other)
 		// Calls under way end here, and their results are given out.
-		n.makeParts()
-		n.Assert(take[ReturnResults](n), qt.HasLen, 2)
+		n.answerParts()
+		n.Assert(takeAll[ReturnResults](n), qt.HasLen, 2)
 	})
 
 	t.Run("one overdue call is not taken for slowness, two in a row are", func(t *testing.T) {
@@ -223,7 +223,7 @@
 	}
 }
 
-// partQueue is where the stages of stream() wait.
+// partQueue is where the stages of streamRequest() wait.
 var partQueue = queueKey{lane: chutebatch.Lane{Pool: partPool}}
 
 func TestOverload(t *testing.T) {
@@ -248,7 +248,7 @@
 		expectNo[RejectJob](n)
 		first.FollowingPools = []string{partPool}
 		n.on(JobReceived{Token: 101, Job: first})
-		n.Assert(only[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartOverloaded))
+		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartOverloaded))
 	})
 
 	t.Run("word of an urgent queue says nothing of one that is less urgent", func(t *testing.T) {
@@ -258,12 +258,12 @@
 		less := partQueue
 		less.priority = ranksPerPriority + 1
 		n.state.waitReports = n.state.waitReports.Set(less, waitReport{wait: 3 * time.Second, at: n.now})
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[Refuse](n)
-		s := stream(2, chuteroute.Resumable)
+		s := streamRequest(2, chuteroute.Resumable)
 		s.Pipeline.Priority = 1
 		n.on(Arrived{Submission: s})
-		n.Assert(only[Refuse](n).Refusal.RetryAfter, qt.Equals, overloadRetryAfter)
+		n.Assert(takeOne[Refuse](n).Refusal.RetryAfter, qt.Equals, overloadRetryAfter)
 	})
 
 	t.Run("a request is turned away on arrival for the queue of a later stage", func(t *testing.T) {
@@ -271,7 +271,7 @@
 		// the request would cost the first stage for nothing and hold its caller.
 		n := newNode(t)
 		n.state.waitReports = n.state.waitReports.Set(partQueue, waitReport{wait: 3 * time.Second, at: n.now})
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[RunCall](n)
 		n.Assert(n.expectRefused(RefusedNotRun).RetryAfter, qt.Equals, overloadRetryAfter)
 	})
@@ -280,16 +280,16 @@
 		// Half of a diagnosis is out when its engine dies, in the middle of a burst.
 		// Behind the queue its stages would come too late to go on.
 		n := newNode(t)
-		s := n.sent(stream(1, chuteroute.Resumable))
+		s := n.submit(streamRequest(1, chuteroute.Resumable))
 		n.on(AttemptBegan{Handle: 1, Attempt: s.Attempt})
 		for token := range uint64(30) {
 			n.on(JobReceived{Token: token + 1, Job: peerJob("busy", 8)})
 		}
-		take[RunCall](n)
+		takeAll[RunCall](n)
 		n.pass(time.Second)
-		n.ends(s, EndBroken)
+		n.endCall(s, EndBroken)
 		expectNo[Refuse](n)
-		for id := uint64(1); len(take[RunCall](n)) == 0; id++ {
+		for id := uint64(1); len(takeAll[RunCall](n)) == 0; id++ {
 			n.on(CallEnded{ID: id, End: chutebatch.CallRefused})
 			n.pass(time.Second / 10)
 			n.on(Ticked{})
@@ -302,7 +302,7 @@
 		n := newNode(t)
 		n.state.waitReports = n.state.waitReports.Set(partQueue, waitReport{wait: 3 * time.Second, at: n.now})
 		n.pass(waitReportTTL)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[Refuse](n)
 	})
 }
--- a/internal/chuterelay/warmup_test.go
+++ b/internal/chuterelay/warmup_test.go
@@ -304,10 +304,10 @@
 	n.on(Arrived{Submission: many(1)})
 	calls := map[string]int{}
 	for range 5 {
-		for _, call := range take[RunCall](n) {
+		for _, call := range takeAll[RunCall](n) {
 			calls[call.Upstream.ID]++
 			n.pass(100 * time.Millisecond)
-			n.answer(call)
+			n.answerCall(call)
 		}
 	}
 	n.Assert(calls[partPool+"0"], qt.Equals, 1)
--- a/internal/chuterelay/zones_test.go
+++ b/internal/chuterelay/zones_test.go
@@ -37,7 +37,7 @@
 	n.Helper()
 	for range 200 {
 		*handle++
-		s := n.sent(plain(*handle, chuteroute.Repeatable))
+		s := n.submit(plainRequest(*handle, chuteroute.Repeatable))
 		if s.Upstream.Zone == "z2" {
 			return s
 		}
@@ -56,7 +56,7 @@
 		n.loseFar(&handle)
 		for range 30 {
 			handle++
-			n.Assert(n.sent(plain(handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, "z1")
+			n.Assert(n.submit(plainRequest(handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, "z1")
 		}
 	})
 
@@ -72,7 +72,7 @@
 			n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsTrue)
 		}
 		n.on(ProbeEnded{Upstream: lost[0], Alive: true})
-		n.Assert(only[LogZone](n), qt.DeepEquals, LogZone{Zone: "z2"})
+		n.Assert(takeOne[LogZone](n), qt.DeepEquals, LogZone{Zone: "z2"})
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
 
@@ -82,7 +82,7 @@
 		for range 2 {
 			s := n.untilFar(&handle)
 			n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable})
-			take[Send](n)
+			takeAll[Send](n)
 		}
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
@@ -104,15 +104,15 @@
 		n.on(PeersListed{Peers: append(all, self)})
 		handle := uint64(100)
 		n.loseFar(&handle)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[RequestJob](n)
-		n.Assert(only[RunCall](n).Upstream.Zone, qt.Equals, "z1")
+		n.Assert(takeOne[RunCall](n).Upstream.Zone, qt.Equals, "z1")
 	})
 
 	t.Run("silent nodes prove it too", func(t *testing.T) {
 		n := withPeer(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		asked := only[RequestJob](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		asked := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: asked.JobRequestID, PeerLost: true, PeerSilent: true, Reason: "silent"})
 		known, _ := n.state.zoneSilence.silent.Get("z2")
 		n.Assert(known, qt.HasLen, 1)
@@ -126,10 +126,10 @@
 	for range minSilentEndpoints {
 		s := n.untilFar(handle)
 		n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable, Silent: true})
-		take[Send](n)
+		takeAll[Send](n)
 		lost = append(lost, s.Upstream.ID)
 	}
-	told := only[LogZone](n)
+	told := takeOne[LogZone](n)
 	n.Assert(told.CutOff, qt.IsTrue)
 	n.Assert(told.Silent, qt.HasLen, minSilentEndpoints)
 	n.effects = nil
