--- a/internal/chuterelay/evacuate_sim_test.go
+++ b/internal/chuterelay/evacuate_sim_test.go
@@ -15,15 +15,15 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// evacSim is a region's nodes without a network: in each round every node takes what it lacks
-// of the operator's table from the node that it follows, or from the store.
+// evacSim simulates a region's nodes without a network: in each round every node takes the missing
+// changes of the operator's table from the node that it follows, or from the store.
 type evacSim struct {
 	*qt.C
 
 	store chutefeed.Table
 	peers []Peer
 	nodes map[string]*evacNode
-	// away says that the store answers nobody.
+	// away says that the store is unavailable.
 	away    bool
 	now     time.Time
 	handles uint64
@@ -37,7 +37,7 @@
 const (
 	evacConfigKey = "config"
 	evacPrefix    = "evacuate/"
-	// evacHops is the depth of the nodes' tree at most: region, zone, relay, the rest.
+	// evacHops is the maximum depth of the nodes' tree: region, zone, relay, the rest.
 	evacHops = 4
 )
 
@@ -54,7 +54,7 @@
 	return s
 }
 
-// write puts a row into the store, or deletes it.
+// write adds a row to the store, or deletes it.
 func (s *evacSim) write(key string, there bool) {
 	c := chutefeed.Change{Version: s.store.Version() + 1, Gone: []string{key}}
 	if there {
@@ -63,7 +63,7 @@
 	s.store = s.store.With(c)
 }
 
-// begin starts a node that knows nothing but the upstreams and the other nodes.
+// begin starts a node that knows only the upstreams and the other nodes.
 func (s *evacSim) begin(peer Peer) {
 	n := &evacNode{state: NewState(Settings{Self: peer, Seed: 1})}
 	s.nodes[peer.Name] = n
@@ -84,7 +84,7 @@
 	return effects
 }
 
-// round lets every node hear once.
+// round updates every node from its source once.
 func (s *evacSim) round() {
 	s.now = s.now.Add(100 * time.Millisecond)
 	var alive []Peer
@@ -108,7 +108,7 @@
 	}
 }
 
-// rounds lets news reach every node.
+// rounds runs as many rounds as a change takes to reach every node.
 func (s *evacSim) rounds() {
 	for range evacHops {
 		s.round()
@@ -141,8 +141,8 @@
 	n.on(s.now, ConfigAdopted{Config: testConfig(from.Version())})
 }
 
-// expectNothingTo has each node that knows a configuration serve a request, and fails if a
-// call goes to an evacuated zone, by a node that had the time to hear or has just started.
+// expectNothingTo has each node that knows a configuration serve a request, and fails if a call is
+// sent to an evacuated zone, also by a node that has just started.
 func (s *evacSim) expectNothingTo(zones ...string) {
 	s.Helper()
 	for name, n := range s.nodes {
@@ -161,9 +161,9 @@
 }
 
 func TestEvacuationAtSize(t *testing.T) {
-	// The operator empties a zone while nodes are killed, start again and the store is away.
-	// No node may serve a request there once what it follows had the time to tell it, and one
-	// that starts may not at all.
+	// The operator evacuates a zone while nodes are killed and restarted and the store is
+	// unavailable. No node may send a call there once the change had time to reach it from its
+	// source, and a node that has just started may not send one at all.
 	for _, size := range []int{4, 40, 400} {
 		t.Run(fmt.Sprint(size, " nodes"), func(t *testing.T) {
 			s := newEvacSim(t, size)
@@ -172,7 +172,7 @@
 			s.rounds()
 			s.expectNothingTo("z1")
 
-			// A fifth of the nodes is killed and starts again, while the store is away.
+			// A fifth of the nodes is killed and starts again, while the store is unavailable.
 			s.away = true
 			s.restartSome(uint64(size))
 			for range evacHops {
@@ -180,7 +180,7 @@
 				s.expectNothingTo("z1")
 			}
 
-			// The store is back, with a second zone emptied and the first one taken back.
+			// The store is available again, with a second zone evacuated and the first one taken back.
 			s.away = false
 			s.write(evacPrefix+"z2", true)
 			s.write(evacPrefix+"z1", false)
--- a/internal/chuterelay/evacuate_test.go
+++ b/internal/chuterelay/evacuate_test.go
@@ -11,7 +11,7 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// expectSentTo sends plain requests and fails unless all of them go to one zone.
+// expectSentTo sends plain requests and fails unless all of them are sent to one zone.
 func (n *node) expectSentTo(zone string, handle *uint64) {
 	n.Helper()
 	for range 30 {
@@ -32,7 +32,7 @@
 		n.untilFar(&handle)
 	})
 
-	t.Run("the own zone is evacuated too when it is its turn", func(t *testing.T) {
+	t.Run("the node's own zone can be evacuated too", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
@@ -41,7 +41,7 @@
 		n.expectSentTo("z1", &handle)
 	})
 
-	t.Run("an upstream that is listed there after it began gets nothing", func(t *testing.T) {
+	t.Run("an upstream listed in the zone after the evacuation began gets no call", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		n.on(UpstreamsListed{Hold: true, Upstreams: []chutefleet.Upstream{{
@@ -51,9 +51,9 @@
 		n.expectSentTo("z1", &handle)
 	})
 
-	t.Run("a stream that runs there goes on, and what it lacks comes from elsewhere", func(t *testing.T) {
-		// The caller has the first events. Its engine may end the answer; when it breaks
-		// off in place of that, the rest must come from another zone.
+	t.Run("a stream that runs in the zone continues, and is resumed in another zone if it breaks", func(t *testing.T) {
+		// The caller has the first events. Its engine may finish the answer; if the stream
+		// breaks instead, the rest must come from another zone.
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
 		sent := n.submit(streamRequest(1, chuteroute.Resumable))
@@ -72,7 +72,7 @@
 		n.Assert(again.Resume, qt.IsTrue)
 	})
 
-	t.Run("an unrepeatable call that runs there is left alone", func(t *testing.T) {
+	t.Run("an unrepeatable call that runs in the zone is not cancelled", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
 		sent := n.submit(plainRequest(1, chuteroute.Unrepeatable))
@@ -83,10 +83,10 @@
 	})
 
 	t.Run("parts that wait at a collector go to another zone at once", func(t *testing.T) {
-		// All slots of the pool are taken when the evacuation begins; the parts that
-		// wait for them must not take the first that comes free there.
+		// All slots of the pool are taken when the evacuation begins; the waiting parts must
+		// not get a slot that becomes free in the evacuated zone.
 		n := withFarZone(t)
-		n.on(Arrived{Submission: many(1)})
+		n.on(Arrived{Submission: manyPartsRequest(1)})
 		first := takeAll[RunCall](n)
 		n.Assert(first, qt.HasLen, 8)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
@@ -98,7 +98,7 @@
 		}
 	})
 
-	t.Run("results that lie there are used and not given back by a call", func(t *testing.T) {
+	t.Run("results held in the zone are used, and no call is sent to free them", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1"}})
 		sent := n.submit(streamRequest(1, chuteroute.Resumable))
@@ -112,7 +112,7 @@
 		expectNo[FreeResults](n)
 	})
 
-	t.Run("a silent upstream is not probed there", func(t *testing.T) {
+	t.Run("a silent upstream in the zone is not probed", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		far := n.untilFar(&handle)
@@ -121,7 +121,7 @@
 		expectNo[Probe](n)
 	})
 
-	t.Run("with all zones evacuated a request is refused at once, and truly not run", func(t *testing.T) {
+	t.Run("with all zones evacuated a request is refused at once without being sent", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z1", "z2"}})
 		n.on(Arrived{Submission: plainRequest(1, chuteroute.Unrepeatable)})
@@ -131,14 +131,14 @@
 	})
 
 	t.Run("a request whose stages run is refused when the last zone is evacuated", func(t *testing.T) {
-		// Held on, it would wait until its caller leaves.
+		// If it were kept, it would wait until its caller leaves.
 		n := withFarZone(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		n.on(ZonesEvacuated{Zones: []string{"z1", "z2"}})
 		n.expectRefused(RefusedNotRun)
 	})
 
-	t.Run("a request of whose stages one has lost its pool is refused at once", func(t *testing.T) {
+	t.Run("a request with a stage whose pool is evacuated as a whole is refused at once", func(t *testing.T) {
 		n := newNode(t)
 		n.on(UpstreamsListed{Upstreams: []chutefleet.Upstream{
 			{ID: "e", Name: "e", Pool: enginePool, Zone: "z1", Slots: 8, State: chutefleet.StateReady},
@@ -150,8 +150,9 @@
 	})
 }
 
-// many is a request with more parts in its first stage than the whole pool takes at once.
-func many(handle uint64) Submission {
+// manyPartsRequest returns a request with more parts in its first stage than the whole pool runs at
+// once.
+func manyPartsRequest(handle uint64) Submission {
 	s := streamRequest(handle, chuteroute.Resumable)
 	s.Parts = []int{100, 1}
 	s.Deadline = start.Add(time.Minute)
@@ -162,7 +163,7 @@
 }
 
 func TestEvacuationAtCollector(t *testing.T) {
-	t.Run("a job from a node that has not heard of the evacuation runs elsewhere", func(t *testing.T) {
+	t.Run("a job from a node that does not know of the evacuation yet runs in another zone", func(t *testing.T) {
 		n := withFarZone(t)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		n.on(JobReceived{Token: 7, Job: chutebatch.Job{
--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -12,27 +12,27 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// answerLimited answers a call of the only request with a limit.
+// answerLimited ends a call with an answer that names a limit.
 func (n *node) answerLimited(s Send, limit Limit) {
 	n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndAnswered, HasAnswer: true, Limit: &limit})
 }
 
 func TestLimitTold(t *testing.T) {
-	// Guards against hundreds of nodes that each find out about a limit by a call of their own.
+	// Guards against hundreds of nodes that each learn of a limit by a call of their own.
 	n := newNode(t)
 	n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
 	sent := takeOne[Send](n)
 	n.answerLimited(sent, Limit{Named: true, PerSecond: 2})
 	told := takeOne[AnnounceLimit](n).Limit
 
-	t.Run("a limit that an answer names is told", func(t *testing.T) {
+	t.Run("a limit named by an answer is announced", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(told.Upstream, qt.Equals, sent.Upstream.ID)
 		c.Assert(told.Limited, qt.IsTrue)
 		c.Assert(told.PerSecond, qt.Equals, 2.0)
 	})
 
-	t.Run("a node that hears it keeps to it without a call", func(t *testing.T) {
+	t.Run("a node that gets the announcement applies it without a call", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
 		told.Teller = "n2"
@@ -48,7 +48,7 @@
 		c.Assert(limited, qt.IsFalse)
 	})
 
-	t.Run("a word on an upstream that is not listed yet counts once it is", func(t *testing.T) {
+	t.Run("an announcement about an upstream that is not listed yet applies once it is", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
 		told := told
@@ -62,9 +62,9 @@
 }
 
 func TestLimitOfStages(t *testing.T) {
-	// Guards against calls with parts beyond the limit of an upstream that runs stages.
+	// Guards against batched calls beyond the limit of an upstream that runs stages.
 	n := newNode(t)
-	n.on(Arrived{Submission: many(1)})
+	n.on(Arrived{Submission: manyPartsRequest(1)})
 	calls := map[string]int{}
 	for range 5 {
 		for _, call := range takeAll[RunCall](n) {
@@ -85,8 +85,8 @@
 	n.Assert(calls[partPool+"1"] > 2, qt.IsTrue, qt.Commentf("%d calls", calls[partPool+"1"]))
 }
 
-// Guards against requests whose stages are made although no upstream may take their call, and
-// against callers who come back before one may.
+// Guards against requests whose stages run although no upstream may take their call, and against
+// callers who retry before an upstream may.
 func TestLimitRefusesAtOnce(t *testing.T) {
 	n := newNode(t)
 	n.on(ConfigAdopted{Config: testConfig(2)})
--- a/internal/chuterelay/loads_test.go
+++ b/internal/chuterelay/loads_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestLoadReports(t *testing.T) {
-	t.Run("what answers say of loads goes along with the next job, once", func(*testing.T) {
+	t.Run("loads reported by answers are sent with the next job, once", func(*testing.T) {
 		n := collectedElsewhere(t)
 		n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
 		sent := takeOne[Send](n)
@@ -20,17 +20,17 @@
 			Handle: sent.Handle, Attempt: sent.Attempt, End: EndAnswered, HasAnswer: true, Load: &Load{Running: 7, Waiting: 2},
 		})
 		n.pass(100 * time.Millisecond)
-		n.on(Arrived{Submission: n.of("w", 2)})
-		n.on(Arrived{Submission: n.of("w", 3)})
+		n.on(Arrived{Submission: n.requestFrom("w", 2)})
+		n.on(Arrived{Submission: n.requestFrom("w", 3)})
 		asks := takeAll[RequestJob](n)
-		// Nine ran or waited there with the call that has ended since.
+		// Nine ran or waited there, including the call that has ended since.
 		n.Assert(asks[0].Loads, qt.DeepEquals, []chutefleet.LoadReport{
 			{Upstream: sent.Upstream.ID, Calls: 8, Age: 100 * time.Millisecond},
 		})
 		n.Assert(asks[1].Loads, qt.HasLen, 0)
 	})
 
-	t.Run("a collector tells which engines are crowded, by what all nodes have heard", func(*testing.T) {
+	t.Run("a collector reports which engines are overloaded, from the reports of all nodes", func(*testing.T) {
 		n := newNode(t)
 		n.on(JobReceived{Token: 7, Job: chutebatch.Job{
 			Request: "r", Pool: partPool, Parts: 1, TargetAt: n.now.Add(time.Second), Deadline: n.now.Add(2 * time.Second),
@@ -39,19 +39,19 @@
 		n.Assert(takeOne[ReturnResults](n).Loads, qt.DeepEquals, []chutefleet.LoadReport{{Upstream: enginePool + "0", Calls: 20}})
 	})
 
-	t.Run("a prompt does not go to the engine that holds it while that is crowded", func(*testing.T) {
-		// A popular prompt goes to one engine of many from hundreds of nodes. Each node
-		// has no call there, and none has heard of the queue.
+	t.Run("a prompt is not sent to the engine that holds it while that engine is overloaded", func(*testing.T) {
+		// Hundreds of nodes send a popular prompt to one engine of many. No node has a call
+		// there of its own, and none knows of the queue.
 		for _, crowded := range []bool{false, true} {
 			n := collectedElsewhere(t)
-			n.on(Arrived{Submission: n.of("w", 1)})
+			n.on(Arrived{Submission: n.requestFrom("w", 1)})
 			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}})
 			holder := takeOne[Send](n).Upstream.ID
 			var told []chutefleet.LoadReport
 			if crowded {
 				told = []chutefleet.LoadReport{{Upstream: holder, Calls: 30, Age: 50 * time.Millisecond}}
 			}
-			n.on(Arrived{Submission: n.of("w", 2)})
+			n.on(Arrived{Submission: n.requestFrom("w", 2)})
 			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}, Loads: told})
 			n.Assert(takeOne[Send](n).Upstream.ID == holder, qt.Equals, !crowded)
 		}
--- a/internal/chuterelay/share_test.go
+++ b/internal/chuterelay/share_test.go
@@ -10,7 +10,7 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// collectedElsewhere returns a node whose stages are collected by another one.
+// collectedElsewhere returns a node whose stages are collected by another node.
 func collectedElsewhere(t *testing.T) *node {
 	n := newNode(t)
 	n.on(PeersListed{Peers: []Peer{
@@ -20,8 +20,8 @@
 	return n
 }
 
-// of returns a streamed request of a workspace, with one stage.
-func (n *node) of(workspace string, handle uint64) Submission {
+// requestFrom returns a streamed request of a workspace, with one stage.
+func (n *node) requestFrom(workspace string, handle uint64) Submission {
 	s := streamRequest(handle, chuteroute.Resumable)
 	s.Workspace = chuteroute.Workspace{Name: workspace}
 	s.Pipeline.Stages = s.Pipeline.Stages[:1]
@@ -32,45 +32,46 @@
 }
 
 func TestBeyondShare(t *testing.T) {
-	// One workspace fills the queue of a stage. The collector turns one of its requests
-	// away and tells how long that workspace waits. The node that asked would turn all
-	// requests away for that queue, also those of workspaces that would not wait.
+	// One workspace fills the queue of a stage. The collector refuses one of its jobs and
+	// reports how long that workspace waits. Guards against a node that then refuses all requests
+	// for that queue, also those of workspaces that would not wait.
 	n := collectedElsewhere(t)
-	n.on(Arrived{Submission: n.of("loud", 1)})
+	n.on(Arrived{Submission: n.requestFrom("loud", 1)})
 	n.on(JobFailed{
 		JobRequestID: takeOne[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true,
 	})
 
-	t.Run("a refusal for the workspace's own queue tells when that is over", func(t *testing.T) {
+	t.Run("a refusal for the workspace's own queue gives the wait as its retry delay", func(t *testing.T) {
 		qt.New(t).Assert(n.expectRefused(RefusedNotRun).RetryAfter, qt.Equals, 9*time.Second)
 	})
 
-	t.Run("another workspace's request is taken in", func(*testing.T) {
-		n.on(Arrived{Submission: n.of("quiet", 2)})
+	t.Run("another workspace's request is admitted", func(*testing.T) {
+		n.on(Arrived{Submission: n.requestFrom("quiet", 2)})
 		takeOne[RequestJob](n)
 		expectNo[Refuse](n)
 	})
 
-	t.Run("the loud one's next is refused at once", func(t *testing.T) {
-		n.on(Arrived{Submission: n.of("loud", 3)})
+	t.Run("the next request of the first workspace is refused at once", func(t *testing.T) {
+		n.on(Arrived{Submission: n.requestFrom("loud", 3)})
 		expectNo[RequestJob](n)
 		qt.New(t).Assert(takeOne[Refuse](n).Refusal.RetryAfter, qt.Equals, 9*time.Second)
 	})
 
-	t.Run("it is taken in again when its queue is told to be gone", func(*testing.T) {
+	t.Run("the first workspace's requests are admitted again when the wait report expires", func(*testing.T) {
 		n.pass(waitReportTTL)
-		n.on(Arrived{Submission: n.of("loud", 4)})
+		n.on(Arrived{Submission: n.requestFrom("loud", 4)})
 		takeOne[RequestJob](n)
 	})
 }
 
 func TestOldWaits(t *testing.T) {
-	// Of tens of thousands of workspaces any may be beyond its share for a moment.
+	// Guards against wait reports that pile up: any of tens of thousands of workspaces may exceed
+	// its share for a moment.
 	c := qt.New(t)
 	n := collectedElsewhere(t)
 	for i := range uint64(3 * maxWaitReports) {
 		n.pass(10 * time.Millisecond)
-		n.on(Arrived{Submission: n.of(string(rune('a'+i)), i+1)})
+		n.on(Arrived{Submission: n.requestFrom(string(rune('a'+i)), i+1)})
 		n.on(JobFailed{JobRequestID: takeOne[RequestJob](n).JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 9 * time.Second, OverShare: true})
 		takeAll[Refuse](n)
 	}
--- a/internal/chuterelay/source_test.go
+++ b/internal/chuterelay/source_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// regionOf returns the nodes of a region's zones, a few of them strong.
+// regionOf returns the nodes of a region, with size nodes per zone; one in 13 has high power.
 func regionOf(zones, size int) []Peer {
 	var all []Peer
 	for i := range zones * size {
@@ -25,7 +25,8 @@
 }
 
 func TestSourceFanOut(t *testing.T) {
-	// One node of a region reads the store, one of a zone follows it, and nobody serves many.
+	// One node of a region reads the store, one node of each other zone follows it, and no node
+	// serves many followers.
 	for _, size := range []int{4, 13, 39, 80, 200} {
 		c := qt.New(t)
 		all := regionOf(5, size)
@@ -75,11 +76,11 @@
 }
 
 func TestSourceNoCircles(t *testing.T) {
-	// Nodes whose lists differ never follow each other in a circle.
+	// Nodes whose lists differ never follow each other in a cycle.
 	rapid.Check(t, func(t *rapid.T) {
-		// Nodes start, restart and are lost to some and not to others. In a circle all
-		// would hear from each other that they are up to date, with tables that nobody
-		// reads any more.
+		// Nodes start, restart, and are known to some nodes and not to others. In a cycle, all
+		// would tell each other that they are up to date, with tables that none of them reads
+		// from the store any more.
 		all := regionOf(rapid.IntRange(1, 3).Draw(t, "zones"), rapid.IntRange(2, 20).Draw(t, "size"))
 		next := map[string]string{}
 		for _, p := range all {
@@ -96,14 +97,14 @@
 				at = next[at]
 			}
 			if at != "" {
-				t.Fatalf("%s follows in a circle", p.Name)
+				t.Fatalf("%s follows in a cycle", p.Name)
 			}
 		}
 	})
 }
 
 func TestSourceStays(t *testing.T) {
-	// A node that leaves moves only those who followed it and few more.
+	// When a node leaves, only its followers and a few other nodes get another source.
 	c := qt.New(t)
 	all := regionOf(2, 80)
 	for _, gone := range all {
@@ -121,7 +122,7 @@
 }
 
 func TestSourceUnlisted(t *testing.T) {
-	// A node that is not listed follows as the last one.
+	// A node that is not listed chooses its source as if it were the last on the list.
 	c := qt.New(t)
 	self := Peer{Name: "n5", Zone: "z0", Region: "r"}
 	_, ok := TableSource(self, regionOf(1, 3))
--- a/internal/chuterelay/warmup_test.go
+++ b/internal/chuterelay/warmup_test.go
@@ -301,7 +301,7 @@
 		}
 	}
 	n.on(UpstreamsListed{Upstreams: list})
-	n.on(Arrived{Submission: many(1)})
+	n.on(Arrived{Submission: manyPartsRequest(1)})
 	calls := map[string]int{}
 	for range 5 {
 		for _, call := range takeAll[RunCall](n) {
--- a/internal/chuterelay/zones_test.go
+++ b/internal/chuterelay/zones_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// untilFar sends plain requests until one goes to the other zone; the earlier ones
-// keep the near upstreams busy.
+// untilFar sends plain requests until one is sent to the other zone; the earlier ones keep the
+// upstreams of the node's own zone busy.
 func (n *node) untilFar(handle *uint64) Send {
 	n.Helper()
 	for range 200 {
@@ -48,9 +48,10 @@
 }
 
 func TestZoneCutOff(t *testing.T) {
-	t.Run("after two silent upstreams no request is tried there", func(t *testing.T) {
-		// A zone is cut off. Its upstreams accept nothing and refuse nothing, and each
-		// attempt takes a third of a second to fail. Callers would meet them one by one.
+	t.Run("after two silent upstreams no request is sent to the zone", func(t *testing.T) {
+		// A zone is cut off. Its upstreams neither accept nor refuse connections, and each
+		// attempt takes a third of a second to fail. Without the detection, requests would
+		// try these upstreams one by one.
 		n := withFarZone(t)
 		handle := uint64(0)
 		n.loseFar(&handle)
@@ -60,7 +61,7 @@
 		}
 	})
 
-	t.Run("a probe that gets through ends it", func(t *testing.T) {
+	t.Run("a successful probe ends the cut-off", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		lost := n.loseFar(&handle)
@@ -76,7 +77,7 @@
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
 
-	t.Run("refused connections are no proof: something there answers", func(t *testing.T) {
+	t.Run("refused connections do not count as silence, since something replies", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		for range 2 {
@@ -87,15 +88,15 @@
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
 
-	t.Run("the own zone is never given up", func(t *testing.T) {
+	t.Run("the node's own zone never counts as cut off", func(t *testing.T) {
 		c := qt.New(t)
 		z := newZoneSilence("z1").withSilent("z1", "a", start).withSilent("z1", "b", start)
 		c.Assert(z.cutOff("z1", start), qt.IsFalse)
 	})
 
-	t.Run("stages are collected and made in a zone that is reached", func(t *testing.T) {
-		// A request was planned for the other zone. Its collectors are silent one after
-		// the other; asked in turn they would use up all tries and the caller's time.
+	t.Run("stages are collected and run in a reachable zone", func(t *testing.T) {
+		// A request was planned for the other zone, whose collectors are all silent. Asking
+		// them in turn would use up all attempts and the caller's time.
 		n := withFarZone(t)
 		var all []Peer
 		for i := range 20 {
@@ -109,7 +110,7 @@
 		n.Assert(takeOne[RunCall](n).Upstream.Zone, qt.Equals, "z1")
 	})
 
-	t.Run("silent nodes prove it too", func(t *testing.T) {
+	t.Run("silent nodes count as silent endpoints too", func(t *testing.T) {
 		n := withPeer(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		asked := takeOne[RequestJob](n)
@@ -119,7 +120,7 @@
 	})
 }
 
-// loseFar makes two upstreams of the other zone silent to requests and returns them.
+// loseFar makes two upstreams of the other zone silent and returns their ids.
 func (n *node) loseFar(handle *uint64) []string {
 	n.Helper()
 	var lost []string
