--- a/internal/chuterelay/callerwait_test.go
+++ b/internal/chuterelay/callerwait_test.go
@@ -11,8 +11,8 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// patient is a streamed request whose caller says how long it waits.
-func patient(handle uint64, wait time.Duration) Submission {
+// patientRequest returns a streamed request whose caller states how long it waits.
+func patientRequest(handle uint64, wait time.Duration) Submission {
 	s := streamRequest(handle, chuteroute.Resumable)
 	s.CallerWait = wait
 
@@ -20,26 +20,26 @@
 }
 
 func TestComingBack(t *testing.T) {
-	t.Run("a caller that comes back is on time only if it is for its first sending", func(t *testing.T) {
-		// Turned away in a burst, callers come back two seconds later and ask for the
-		// same again. Their answers are late by then, and must not make others late.
+	t.Run("a resent request is on time only if it is on time counted from its first sending", func(t *testing.T) {
+		// Callers that were refused in a burst resend their requests two seconds later. Their
+		// answers are late by then, and must not make others late.
 		n := newNode(t)
-		n.on(Arrived{Submission: patient(1, 6*time.Second)})
-		n.on(Arrived{Submission: patient(2, 3500*time.Millisecond)})
+		n.on(Arrived{Submission: patientRequest(1, 6*time.Second)})
+		n.on(Arrived{Submission: patientRequest(2, 3500*time.Millisecond)})
 		first, _ := n.state.requests.Get(1)
 		back, _ := n.state.requests.Get(2)
 		n.Assert(first.aimAt, qt.Equals, n.now.Add(2*time.Second))
 		n.Assert(back.aimAt.Before(n.now.Add(200*time.Millisecond)), qt.IsTrue)
 	})
 
-	t.Run("its parts wait for those that can still be on time", func(t *testing.T) {
+	t.Run("parts of a resent request wait for those that can still be on time", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: patient(1, 6*time.Second)})
-		// The queue is short enough that nobody is turned away for it.
+		n.on(Arrived{Submission: patientRequest(1, 6*time.Second)})
+		// The queue is short enough that no request is refused because of it.
 		n.on(JobReceived{Token: 1, Job: peerJob("busy", 8)})
 		n.on(JobReceived{Token: 2, Job: peerJob("busy", 4)})
-		n.on(Arrived{Submission: patient(2, 3500*time.Millisecond)})
-		n.on(Arrived{Submission: patient(3, 6*time.Second)})
+		n.on(Arrived{Submission: patientRequest(2, 3500*time.Millisecond)})
+		n.on(Arrived{Submission: patientRequest(3, 6*time.Second)})
 		expectNo[Refuse](n)
 		var order []string
 		for !slices.Contains(order, "r2") {
@@ -53,25 +53,25 @@
 		n.Assert(slices.Index(order, "r3") < slices.Index(order, "r2"), qt.IsTrue, qt.Commentf("%v", order))
 	})
 
-	t.Run("how long one waits that comes back turns no other away", func(t *testing.T) {
-		// One that comes back waits for all that can still be on time. Taken for the wait
-		// of its kind, that would turn away new ones, which hardly wait.
+	t.Run("the wait of a resent request does not cause the refusal of others", func(t *testing.T) {
+		// A resent request waits for all that can still be on time. If its wait counted for
+		// the whole queue, new requests, which hardly wait, would be refused.
 		n := withPeer(t)
 		for handle, wait := range []time.Duration{6 * time.Second, 3500 * time.Millisecond} {
-			n.on(Arrived{Submission: patient(uint64(handle+1), wait)})
+			n.on(Arrived{Submission: patientRequest(uint64(handle+1), wait)})
 		}
 		asks := takeAll[RequestJob](n)
 		n.on(JobFailed{JobRequestID: asks[1].JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 3 * time.Second})
 		n.Assert(takeOne[Refuse](n).Handle, qt.Equals, uint64(2))
-		n.on(Arrived{Submission: patient(3, 6*time.Second)})
+		n.on(Arrived{Submission: patientRequest(3, 6*time.Second)})
 		expectNo[Refuse](n)
 		n.on(JobFailed{JobRequestID: asks[0].JobRequestID, Reason: string(chutebatch.PartOverloaded), Wait: 3 * time.Second})
 		takeOne[Refuse](n)
-		n.on(Arrived{Submission: patient(4, 6*time.Second)})
+		n.on(Arrived{Submission: patientRequest(4, 6*time.Second)})
 		n.Assert(takeOne[Refuse](n).Handle, qt.Equals, uint64(4))
 	})
 
-	t.Run("callers whose patience differs a little are not taken for such", func(t *testing.T) {
+	t.Run("callers that state slightly different waits do not count as resending", func(t *testing.T) {
 		c := qt.New(t)
 		p := newCallerWaits().with("a", 6*time.Second)
 		c.Assert(p.waitedBefore("a", 5200*time.Millisecond), qt.Equals, time.Duration(0))
@@ -80,7 +80,7 @@
 		c.Assert(p.waitedBefore("a", 0), qt.Equals, time.Duration(0))
 	})
 
-	t.Run("what is usual follows the callers", func(t *testing.T) {
+	t.Run("the usual wait adapts to the callers", func(t *testing.T) {
 		c := qt.New(t)
 		p := newCallerWaits().with("a", 60*time.Second)
 		for range 300 {
@@ -90,7 +90,7 @@
 	})
 }
 
-// requestsOf lists the requests whose parts a call has, each once.
+// requestsOf returns the distinct requests whose parts a call has.
 func requestsOf(call chutebatch.Call) []string {
 	var names []string
 	for _, job := range call.Jobs {
--- a/internal/chuterelay/calltimes_test.go
+++ b/internal/chuterelay/calltimes_test.go
@@ -9,7 +9,7 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// serve brings a request to its first event, which comes after a time.
+// serve runs a request whose first event comes after the given time.
 func (n *node) serve(handle uint64, took time.Duration) {
 	n.Helper()
 	s := streamRequest(handle, chuteroute.Resumable)
@@ -22,10 +22,10 @@
 }
 
 func TestLearnedCallTimes(t *testing.T) {
-	t.Run("a request may wait longer where calls are quicker than their size lets expect", func(t *testing.T) {
-		// Most of the prompt is in the engine's memory already. Expected by its size
-		// alone, requests count as late a third of a second too early, and yield to
-		// others although they could be on time.
+	t.Run("a request may wait longer if calls are faster than expected by their size", func(t *testing.T) {
+		// Most of the prompt is in the engine's memory already. If the expected time depended
+		// on the size alone, requests would count as late a third of a second too early, and
+		// yield to others although they could be on time.
 		n := newNode(t)
 		rest := func() time.Duration {
 			s := streamRequest(99, chuteroute.Resumable)
@@ -40,7 +40,7 @@
 		n.Assert(rest() >= before/5, qt.IsTrue, qt.Commentf("%v", rest()))
 	})
 
-	t.Run("what varies is expected to take longer than its mean", func(t *testing.T) {
+	t.Run("calls with varying times are expected to take longer than their mean", func(t *testing.T) {
 		c := qt.New(t)
 		var steady, varied callTimeRatio
 		for i := range 64 {
@@ -50,19 +50,19 @@
 		c.Assert(varied.factor() > steady.factor()+0.15, qt.IsTrue, qt.Commentf("%v %v", varied, steady))
 	})
 
-	t.Run("slow calls never make it more than their size lets expect", func(t *testing.T) {
-		// An engine that hangs for seconds says nothing of the others; expected to take
-		// so long, every request would count as late on arrival.
+	t.Run("slow calls never raise the expected time above that by size", func(t *testing.T) {
+		// An engine that hangs for seconds says nothing about the others. If its time raised
+		// the expectation, every request would count as late on arrival.
 		c := qt.New(t)
 		c.Assert(callTimeRatio{}.with(30).factor(), qt.Equals, 1.0)
 	})
 }
 
 func TestUnderWay(t *testing.T) {
-	t.Run("a late request yields at its first stage, and no more behind it", func(t *testing.T) {
-		// Its first stage was made, late, when nothing else waited. Requests that can
-		// still be on time come to the second stage's queue one after the other. Its
-		// results would run out there, and have been made in vain.
+	t.Run("a late request yields at its first stage only", func(t *testing.T) {
+		// Its first stage ran late, when nothing else waited. Requests that can still be on
+		// time keep arriving at the second stage's queue. If the late one yielded there too,
+		// its results would expire and be wasted.
 		n := newNode(t)
 		late := streamRequest(1, chuteroute.Resumable)
 		late.Pipeline.Aim = time.Millisecond
@@ -77,8 +77,8 @@
 }
 
 func TestPatience(t *testing.T) {
-	// A stream's caller leaves after 2 s without an event, though its deadline is 6 s
-	// off. All stages' upstreams are busy when it comes.
+	// A stream's caller leaves after 2 s without an event, although its deadline is in 6 s.
+	// The upstreams of all stages are busy when it arrives.
 	waiting := func(t *testing.T) (*node, Submission) {
 		n := newNode(t)
 		for i := range uint64(8) {
@@ -94,7 +94,7 @@
 		return n, s
 	}
 
-	t.Run("a request is given up before its caller leaves, and told when to come back", func(t *testing.T) {
+	t.Run("a request is refused with a retry delay before its caller leaves", func(t *testing.T) {
 		n, s := waiting(t)
 		n.on(Arrived{Submission: s})
 		for range 100 {
@@ -113,7 +113,7 @@
 		n.Assert(told, qt.IsTrue)
 	})
 
-	t.Run("the stages of a stream that has begun have until the deadline", func(t *testing.T) {
+	t.Run("the stages of a stream that has begun may run until the deadline", func(t *testing.T) {
 		c := qt.New(t)
 		r := request{Submission: streamRequest(1, chuteroute.Resumable), callerLeavesAt: start.Add(2 * time.Second)}
 		c.Assert(r.answerBy(), qt.Equals, start.Add(2*time.Second))
--- a/internal/chuterelay/restart_test.go
+++ b/internal/chuterelay/restart_test.go
@@ -12,7 +12,7 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// restart lists the upstreams with a later start of those named; it returns their new ids.
+// restart lists the upstreams with a later start time for those named, and returns their new ids.
 func (n *node) restart(names ...string) []string {
 	var ids []string
 	list := testUpstreams()
@@ -30,9 +30,9 @@
 }
 
 func TestUpstreamRestarts(t *testing.T) {
-	t.Run("an unrepeatable call under way has an unknown end and is not sent again", func(t *testing.T) {
-		// A certificate was on its way when the service's process ended. Nobody knows
-		// whether it was issued; its caller must not be told that it was not.
+	t.Run("a running unrepeatable call has an unknown result and is not sent again", func(t *testing.T) {
+		// A certificate was requested when the service's process ended. It is unknown whether
+		// it was issued, so the caller must not be told that it was not.
 		n := newNode(t)
 		s := n.submit(plainRequest(1, chuteroute.Unrepeatable))
 		n.restart(s.Upstream.Name)
@@ -41,22 +41,22 @@
 		n.Assert(takeOne[CancelSend](n).Attempt, qt.Equals, s.Attempt)
 	})
 
-	t.Run("a repeatable call goes on elsewhere at once", func(t *testing.T) {
+	t.Run("a repeatable call is sent to another upstream at once", func(t *testing.T) {
 		n := newNode(t)
 		s := n.submit(plainRequest(1, chuteroute.Repeatable))
 		n.restart(s.Upstream.Name)
 		n.Assert(takeOne[Send](n).Upstream.ID, qt.Not(qt.Equals), s.Upstream.ID)
 	})
 
-	t.Run("connections to the process before are dropped", func(t *testing.T) {
+	t.Run("connections to the previous process are dropped", func(t *testing.T) {
 		n := newNode(t)
 		n.restart("engines0")
 		n.Assert(takeOne[DropConnections](n).Address, qt.Equals, "engines0:1")
 	})
 
-	t.Run("results that it held are made again before anything asks for them", func(t *testing.T) {
-		// The first stage's result lay at the upstream; the second stage waits for its
-		// turn. Without this its call would find the input gone, at the price of a call.
+	t.Run("results that it held are made again before they are fetched", func(t *testing.T) {
+		// The first stage's result was held by the upstream and the second stage is waiting.
+		// Otherwise the second stage would find the input gone only by a failed call.
 		n := newNode(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		first := takeOne[RunCall](n)
@@ -71,7 +71,7 @@
 		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 2)
 	})
 
-	t.Run("they are not made again beyond the retry budget", func(t *testing.T) {
+	t.Run("lost results are not made again beyond the retry budget", func(t *testing.T) {
 		n := newNode(t)
 		n.state.settings.Retries = chutebudget.Settings{}
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
@@ -81,8 +81,8 @@
 		n.expectRefused(RefusedNotRun)
 	})
 
-	t.Run("a peer's job whose inputs lay there fails without a call", func(t *testing.T) {
-		// The peer reads the list later than this node, which collects for it.
+	t.Run("a peer's job whose inputs were held there fails without a call", func(t *testing.T) {
+		// The peer gets the list later than this node, which collects for it.
 		n := newNode(t)
 		n.restart("parts0")
 		n.effects = nil
@@ -94,9 +94,10 @@
 		expectNo[RunCall](n)
 	})
 
-	t.Run("room that was taken there is free again", func(t *testing.T) {
-		// The results of a request that goes on holding them filled the room of both
-		// upstreams. One starts again; parts for its room need not wait until then.
+	t.Run("result memory that was used there is free again", func(t *testing.T) {
+		// The results of a request that still holds them filled the result memory of both
+		// upstreams. One restarts; parts that need its memory must not wait until the request
+		// ends.
 		n := newNode(t)
 		big := streamRequest(1, chuteroute.Resumable)
 		big.Pipeline.Stages = []chuteroute.Stage{{Pool: partPool, ResultBytes: 1 << 19}}
@@ -113,7 +114,7 @@
 		n.Assert(takeOne[RunCall](n).Upstream.ID, qt.Equals, ids[0])
 	})
 
-	t.Run("the end of a call to the process before is not taken", func(t *testing.T) {
+	t.Run("the end of a call to the previous process is ignored", func(t *testing.T) {
 		n := newNode(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		lost := takeOne[RunCall](n)
@@ -125,7 +126,7 @@
 		n.Assert(takeOne[RunCall](n).Call.Jobs[0].Stage, qt.Equals, 1)
 	})
 
-	t.Run("a word on the process before comes too late to change anything", func(t *testing.T) {
+	t.Run("a late list entry of the previous process is ignored", func(t *testing.T) {
 		n := newNode(t)
 		ids := n.restart("plain", "engines0")
 		n.effects = nil
@@ -137,7 +138,7 @@
 }
 
 func TestUnreadableEntry(t *testing.T) {
-	t.Run("calls under way at an upstream go on while its entry can't be read", func(t *testing.T) {
+	t.Run("running calls of an upstream continue while its entry can't be read", func(t *testing.T) {
 		n := newNode(t)
 		s := n.submit(plainRequest(1, chuteroute.Unrepeatable))
 		list := testUpstreams()
--- a/internal/chuterelay/stages_test.go
+++ b/internal/chuterelay/stages_test.go
@@ -12,7 +12,7 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// withPeer returns a node whose lane is collected by another one.
+// withPeer returns a node whose lane is collected by another node.
 func withPeer(t testing.TB) *node {
 	t.Helper()
 	n := newNode(t)
@@ -28,7 +28,7 @@
 	return nil
 }
 
-func made(a RequestJob) JobDone {
+func doneWithResults(a RequestJob) JobDone {
 	var results []chutebatch.Result
 	for i := range a.Job.Parts {
 		results = append(results, chutebatch.Result{Ref: fmt.Sprint("x/", a.JobRequestID, ".", i), Upstream: "parts0", Zone: "z1"})
@@ -38,7 +38,7 @@
 }
 
 func TestStages(t *testing.T) {
-	t.Run("each stage gets all results of the ones before it, and the call those of the last", func(t *testing.T) {
+	t.Run("each stage gets all results of the stages before it, and the call gets those of the last", func(t *testing.T) {
 		n := newNode(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		first := n.answerParts()
@@ -50,7 +50,7 @@
 		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 2)
 	})
 
-	t.Run("results are freed as soon as all later stages have them", func(t *testing.T) {
+	t.Run("results are freed as soon as all later stages have fetched them", func(t *testing.T) {
 		n := newNode(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		n.answerParts()
@@ -59,7 +59,7 @@
 		n.Assert(takeOne[FreeResults](n).Refs, qt.HasLen, 1)
 	})
 
-	t.Run("a stage without parts for the request is left out", func(t *testing.T) {
+	t.Run("a stage without parts for the request is skipped", func(t *testing.T) {
 		n := newNode(t)
 		s := streamRequest(1, chuteroute.Resumable)
 		s.Parts = []int{0, 0}
@@ -67,9 +67,10 @@
 		n.Assert(takeOne[Send](n).Inputs, qt.HasLen, 0)
 	})
 
-	t.Run("heavy results are made beside the last of the other stages, not ahead of them", func(t *testing.T) {
-		// A draft has one heavy stage beside a chain of two. Made at once, its results
-		// would take an upstream's room while the chain runs, and keep others waiting.
+	t.Run("large results are made in parallel with the last of the other stages, not earlier", func(t *testing.T) {
+		// A draft has one stage with large results in parallel with a chain of two. If that
+		// stage ran at once, its results would use an upstream's result memory while the chain
+		// runs, and other requests would wait.
 		n := newNode(t)
 		s := streamRequest(1, chuteroute.Resumable)
 		s.Pipeline.Stages = append(s.Pipeline.Stages, chuteroute.Stage{Pool: partPool, ResultBytes: largeResult})
@@ -101,8 +102,8 @@
 
 func TestCollectorLost(t *testing.T) {
 	t.Run("another collector is asked at once", func(t *testing.T) {
-		// The node that collects the pool's parts froze. Its callers see no sign of
-		// life; this node takes over for its own requests.
+		// The node that collects the pool's parts is suspended and does not reply. This node
+		// takes over for its own requests.
 		n := withPeer(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		lost := takeOne[RequestJob](n)
@@ -111,14 +112,14 @@
 		n.Assert(n.answerParts(), qt.HasLen, 1)
 	})
 
-	t.Run("what it says after that is not taken", func(t *testing.T) {
-		// The collector wakes and hands out results that it no longer looks after.
+	t.Run("results of a collector that counted as lost are ignored", func(t *testing.T) {
+		// The collector continues and returns results that it no longer manages.
 		n := withPeer(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		lost := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: lost.JobRequestID, PeerLost: true})
 		n.effects = nil
-		n.on(made(lost))
+		n.on(doneWithResults(lost))
 		n.Assert(n.effects, qt.HasLen, 0)
 	})
 
@@ -126,15 +127,15 @@
 		n := withPeer(t)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		first := takeOne[RequestJob](n)
-		n.on(made(first))
+		n.on(doneWithResults(first))
 		second := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: first.JobRequestID, PeerLost: true})
 		expectNo[FreeResults](n)
-		n.on(made(second))
+		n.on(doneWithResults(second))
 		n.Assert(takeOne[FreeResults](n).Refs, qt.HasLen, 1)
 	})
 
-	t.Run("it is asked again after a while", func(t *testing.T) {
+	t.Run("a lost collector is asked again after minPeerPause", func(t *testing.T) {
 		n := withPeer(t)
 		lane := chutebatch.Lane{Pool: partPool}
 		peer := n.state.peers.collector(lane, nil, n.now)
@@ -163,7 +164,7 @@
 		n.Assert(given[len(given)-1].Results, qt.HasLen, 1)
 	})
 
-	t.Run("a lease that ends frees its results", func(t *testing.T) {
+	t.Run("the results of a cancelled job are freed", func(t *testing.T) {
 		n := newNode(t)
 		n.on(JobReceived{Token: 1, Job: peerJob("theirs", 3)})
 		n.answerParts()
@@ -172,16 +173,16 @@
 		n.Assert(n.state.Idle(), qt.IsTrue)
 	})
 
-	t.Run("a node that is shutting down takes no more jobs", func(t *testing.T) {
+	t.Run("a node that is shutting down accepts no more jobs", func(t *testing.T) {
 		n := newNode(t)
 		n.on(DrainStarted{})
 		n.on(JobReceived{Token: 1, Job: peerJob("theirs", 3)})
 		n.Assert(takeOne[RejectJob](n).Leaving, qt.IsTrue)
 	})
 
-	t.Run("it hands waiting jobs back at once, and its own requests go to another node", func(t *testing.T) {
-		// SIGTERM comes while jobs wait. New ones go to the next collector, whose
-		// calls take all slots; those left here would wait until their time is over.
+	t.Run("a node that is shutting down rejects waiting jobs, and sends its own to another node", func(t *testing.T) {
+		// SIGTERM arrives while jobs wait. New jobs go to the next collector, whose calls take
+		// all slots; jobs left here would wait until their deadlines.
 		n := newNode(t)
 		other := Peer{Name: "other", Zone: "z1", Address: "other:1", Power: 1}
 		n.on(PeersListed{Peers: []Peer{self}})
@@ -196,13 +197,13 @@
 		n.Assert(refused.Token, qt.Equals, uint64(1))
 		n.Assert(refused.Leaving, qt.IsTrue)
 		n.Assert(takeOne[RequestJob](n).Peer, qt.Equals, other)
-		// Calls under way end here, and their results are given out.
+		// Running calls end here, and their results are returned.
 		n.answerParts()
 		n.Assert(takeAll[ReturnResults](n), qt.HasLen, 2)
 	})
 
-	t.Run("one overdue call is not taken for slowness, two in a row are", func(t *testing.T) {
-		// An upstream loses answers now and then. Taken for slow it would get longer
+	t.Run("one overdue call does not count as slowness, two in a row do", func(t *testing.T) {
+		// An upstream occasionally loses answers. If it counted as slow, it would get longer
 		// timeouts, and each lost answer would cost seconds.
 		c := qt.New(t)
 		expected := 200 * time.Millisecond
@@ -223,14 +224,14 @@
 	}
 }
 
-// partQueue is where the stages of streamRequest() wait.
+// partQueue is the queue in which the stages of streamRequest wait.
 var partQueue = queueKey{lane: chutebatch.Lane{Pool: partPool}}
 
 func TestOverload(t *testing.T) {
-	t.Run("a collector turns a job away for the queue of the stage that follows", func(t *testing.T) {
-		// The pool of the first stage is idle, that of the second one has seconds of
-		// work. Taken in, the job would cost the first pool a part and its caller the
-		// time until the second collector turns it away.
+	t.Run("a collector rejects a job because of the queue of the following stage", func(t *testing.T) {
+		// The pool of the first stage is idle, that of the second one has seconds of work. If
+		// accepted, the job would cost the first pool a part, and its caller the time until
+		// the second collector rejects it.
 		n := newNode(t)
 		cfg := testConfig(2)
 		cfg.Pools["idle"] = chuteroute.Pool{Name: "idle", Batching: cfg.Pools[partPool].Batching}
@@ -251,9 +252,10 @@
 		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartOverloaded))
 	})
 
-	t.Run("word of an urgent queue says nothing of one that is less urgent", func(t *testing.T) {
-		// Urgent jobs hardly wait while others wait for seconds. Taken for one queue,
-		// urgent requests would be refused for the others, and others let in in vain.
+	t.Run("the wait of a less urgent queue does not apply to a more urgent one", func(t *testing.T) {
+		// Urgent jobs hardly wait while others wait for seconds. If they counted as one queue,
+		// urgent requests would be refused because of the others, and others would be admitted
+		// in vain.
 		n := newNode(t)
 		less := partQueue
 		less.priority = ranksPerPriority + 1
@@ -266,9 +268,9 @@
 		n.Assert(takeOne[Refuse](n).Refusal.RetryAfter, qt.Equals, overloadRetryAfter)
 	})
 
-	t.Run("a request is turned away on arrival for the queue of a later stage", func(t *testing.T) {
-		// The first stage idles while the second one's queue is seconds long. Let in,
-		// the request would cost the first stage for nothing and hold its caller.
+	t.Run("a request is refused on arrival because of the queue of a later stage", func(t *testing.T) {
+		// The first stage is idle while the second one's queue is seconds long. If admitted,
+		// the request would use the first stage for nothing and delay its caller.
 		n := newNode(t)
 		n.state.waitReports = n.state.waitReports.Set(partQueue, waitReport{wait: 3 * time.Second, at: n.now})
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
@@ -276,9 +278,9 @@
 		n.Assert(n.expectRefused(RefusedNotRun).RetryAfter, qt.Equals, overloadRetryAfter)
 	})
 
-	t.Run("the stages of a broken stream go ahead of the queue", func(t *testing.T) {
-		// Half of a diagnosis is out when its engine dies, in the middle of a burst.
-		// Behind the queue its stages would come too late to go on.
+	t.Run("the stages of a broken stream run ahead of the queue", func(t *testing.T) {
+		// An engine ends when half of a diagnosis is delivered, in the middle of a burst.
+		// Behind the queue, the stages would end too late to resume the stream.
 		n := newNode(t)
 		s := n.submit(streamRequest(1, chuteroute.Resumable))
 		n.on(AttemptBegan{Handle: 1, Attempt: s.Attempt})
@@ -298,7 +300,7 @@
 		expectNo[Refuse](n)
 	})
 
-	t.Run("word of a queue is forgotten, so that requests are let in again", func(t *testing.T) {
+	t.Run("a wait report expires, so that requests are admitted again", func(t *testing.T) {
 		n := newNode(t)
 		n.state.waitReports = n.state.waitReports.Set(partQueue, waitReport{wait: 3 * time.Second, at: n.now})
 		n.pass(waitReportTTL)
@@ -308,9 +310,9 @@
 }
 
 func TestRank(t *testing.T) {
-	// One workspace sends urgent requests with a short aim and others with a long one.
-	// Its priority holds for both; among them the pipeline's decides, so that older
-	// ones with a long aim don't push the urgent ones beyond theirs.
+	// One workspace sends urgent requests with a short aim and others with a long one. Its
+	// priority applies to both; among them the pipeline's priority decides, so that older
+	// requests with a long aim do not make the urgent ones miss theirs.
 	c := qt.New(t)
 	workspace := chuteroute.Workspace{HasPriority: true, Priority: 1}
 	rank := func(w chuteroute.Workspace, pipeline int) int {
@@ -325,7 +327,7 @@
 func TestCollectorChoice(t *testing.T) {
 	lane := chutebatch.Lane{Pool: partPool, Shard: "z2"}
 
-	t.Run("a shard is collected in its zone, by a strong VM", func(t *testing.T) {
+	t.Run("a shard is collected in its zone, by a VM with high power", func(t *testing.T) {
 		c := qt.New(t)
 		var all []Peer
 		for i := range 20 {
@@ -335,14 +337,15 @@
 		strong := Peer{Name: "strong", Zone: "z2", Power: 0.8}
 		p := peers{self: self}.withListed(append(all, strong))
 		c.Assert(p.collector(lane, nil, start), qt.Equals, strong)
-		// Without the strong one, a weak one of the zone goes before strangers.
+		// Without it, a VM with low power in the zone is preferred to those of other zones.
 		p = p.withLost("strong", false, start)
 		c.Assert(p.collector(lane, nil, start).Zone, qt.Equals, "z2")
 	})
 
-	t.Run("a zone whose nodes are gone is given up after two, however many it has", func(t *testing.T) {
-		// The zone's nodes lost power, its upstreams did not, and the list keeps them all.
-		// Requests come seldom; each of them would find another two nodes silent.
+	t.Run("a zone whose nodes are gone counts as lost after two of them, however many it has", func(t *testing.T) {
+		// The zone's nodes lost power, its upstreams did not, and the list still has all nodes.
+		// Requests are rare; without the limit each of them would find another two nodes
+		// silent.
 		c := qt.New(t)
 		all := []Peer{self}
 		for i := range 100 {
@@ -357,16 +360,16 @@
 				p = p.withLost(p.collector(lane, nil, now).Name, true, now)
 			}
 		}
-		// Two at first, and each of them again after 2, 4, 8, 16 and 32 s.
+		// Two at first, and each of these two again after 2, 4, 8, 16 and 32 s.
 		c.Assert(asked <= 12, qt.IsTrue, qt.Commentf("%d were asked", asked))
-		// They are back, as processes of their own.
+		// The nodes are back, as new processes.
 		for i := range all {
 			all[i].Incarnation = "again"
 		}
 		c.Assert(p.withListed(all).collector(lane, nil, now).Zone, qt.Equals, "z2")
 	})
 
-	t.Run("one that is heard again counts as lost no longer", func(t *testing.T) {
+	t.Run("a lost node that replies again no longer counts as lost", func(t *testing.T) {
 		c := qt.New(t)
 		far := Peer{Name: "far", Zone: "z2", Power: 1}
 		p := peers{self: self}.withListed([]Peer{self, far})
