--- a/internal/chuterelay/quarantine_test.go
+++ b/internal/chuterelay/quarantine_test.go
@@ -13,46 +13,46 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// marked gives a submission that comes now a fingerprint.
-func (n *node) marked(s Submission, fingerprint string) Submission {
+// withFingerprint returns a submission that arrives now, with a fingerprint.
+func (n *node) withFingerprint(s Submission, fingerprint string) Submission {
 	s.Fingerprint = fingerprint
 	s.Deadline = n.now.Add(s.Deadline.Sub(start))
 
 	return s
 }
 
-// crashes reports that a call's upstream ended under it.
-func (n *node) crashes(s Send) {
+// reportCrash reports that a call's upstream ended while it ran.
+func (n *node) reportCrash(s Send) {
 	n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndBroken, UpstreamEnded: true})
 }
 
-// callCrashes reports that an upstream ended under a call with parts.
-func (n *node) callCrashes(c RunCall) {
+// reportCallCrash reports that an upstream ended while it ran a batched call.
+func (n *node) reportCallCrash(c RunCall) {
 	n.on(CallEnded{
 		ID: c.Call.ID, End: chutebatch.CallLost, Failure: chutefleet.FailureBroken, UpstreamEnded: true,
 	})
 }
 
-// judged lets time go by until what was told is judged.
-func (n *node) judged() {
+// judgeCrashes advances the clock until reported crashes are judged.
+func (n *node) judgeCrashes() {
 	n.pass(time.Second)
 	if len(takeAll[JudgeAt](n)) > 0 {
 		n.on(JudgeDue{})
 	}
 }
 
-// elsewhere reports that upstreams ended under a request at other nodes, one after the other.
-func (n *node) elsewhere(fingerprint string, ends ...string) {
+// reportRemoteCrashes reports, one by one, that upstreams ended while they ran a request of other nodes.
+func (n *node) reportRemoteCrashes(fingerprint string, ends ...string) {
 	for _, upstream := range ends {
 		n.on(QuarantineAnnounced{Crashes: []chutequarantine.Crash{{
 			Upstream: upstream, Pool: plainPool, Suspects: []chutequarantine.Suspect{{Fingerprint: fingerprint}},
 		}}})
-		n.judged()
+		n.judgeCrashes()
 	}
 }
 
-// relist brings the upstreams that have ended back under other names.
-func (n *node) relist(round int) {
+// relistRestarted lists all upstreams under new names, as after a restart.
+func (n *node) relistRestarted(round int) {
 	list := testUpstreams()
 	for i := range list {
 		list[i].ID = fmt.Sprintf("%s.%d", list[i].ID, round)
@@ -68,33 +68,33 @@
 }
 
 func TestQuarantine(t *testing.T) {
-	t.Run("a request is refused at once when upstreams have ended under it elsewhere", func(t *testing.T) {
-		// Three nodes saw one end each. The caller comes to a fourth one, which hands it
-		// to nobody, says truly that it has not run, and when coming back may help.
+	t.Run("a request is refused at once when upstreams have ended while they ran it for other nodes", func(t *testing.T) {
+		// Three nodes saw one end each. The caller's request arrives at a fourth node, which
+		// sends it to no upstream and refuses it as not run, with a retry delay.
 		n := newNode(t)
-		n.elsewhere("p", "a", "b", "c")
-		n.on(Arrived{Submission: n.marked(plainRequest(1, chuteroute.Unrepeatable), "p")})
+		n.reportRemoteCrashes("p", "a", "b", "c")
+		n.on(Arrived{Submission: n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "p")})
 		r := n.expectRefused(RefusedNotRun)
 		n.Assert(r.RetryAfter > time.Minute, qt.IsTrue)
 		expectNo[Send](n)
 		for _, note := range takeAll[LogStep](n) {
 			n.Assert(note.Step, qt.Equals, StepRefused)
 		}
-		n.submit(n.marked(plainRequest(2, chuteroute.Unrepeatable), "other"))
+		n.submit(n.withFingerprint(plainRequest(2, chuteroute.Unrepeatable), "other"))
 	})
 
-	t.Run("two ends elsewhere and an own one are enough, and that is told", func(t *testing.T) {
+	t.Run("two ends at other nodes and one here are enough, and the verdict is announced", func(t *testing.T) {
 		n := newNode(t)
-		n.elsewhere("p", "a", "b")
-		n.crashes(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "p")))
+		n.reportRemoteCrashes("p", "a", "b")
+		n.reportCrash(n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "p")))
 		n.expectRefused(RefusedFailed)
 		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects[0].Fingerprint, qt.Equals, "p")
-		n.judged()
+		n.judgeCrashes()
 		n.Assert(takeOne[AnnounceJudgement](n).Judgement.Verdict, qt.Equals, chutequarantine.VerdictQuarantined)
 		n.expectHeld("p", true)
 	})
 
-	t.Run("a verdict that is heard of is taken over and not told again", func(t *testing.T) {
+	t.Run("an announced verdict is applied and not announced again", func(t *testing.T) {
 		n := newNode(t)
 		n.on(QuarantineAnnounced{Judgements: []chutequarantine.Judgement{{
 			Suspect: chutequarantine.Suspect{Fingerprint: "p"}, Verdict: chutequarantine.VerdictQuarantined,
@@ -103,38 +103,38 @@
 		expectNo[AnnounceJudgement](n)
 	})
 
-	t.Run("after an hour it is taken in again", func(t *testing.T) {
+	t.Run("after an hour the request is admitted again", func(t *testing.T) {
 		n := newNode(t)
-		n.elsewhere("p", "a", "b", "c")
+		n.reportRemoteCrashes("p", "a", "b", "c")
 		n.pass(chutequarantine.Life)
-		n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "p"))
+		n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "p"))
 	})
 
-	t.Run("its repeats by this node end with the verdict", func(t *testing.T) {
-		// The request may be repeated and has attempts left when the verdict falls.
+	t.Run("this node does not retry a request after the verdict", func(t *testing.T) {
+		// The request is repeatable and has attempts left when the verdict is reached.
 		n := newNode(t)
-		n.elsewhere("p", "a", "b")
-		first := n.submit(n.marked(plainRequest(1, chuteroute.Repeatable), "p"))
-		n.elsewhere("p", "c")
+		n.reportRemoteCrashes("p", "a", "b")
+		first := n.submit(n.withFingerprint(plainRequest(1, chuteroute.Repeatable), "p"))
+		n.reportRemoteCrashes("p", "c")
 		n.Assert(takeOne[CancelSend](n).Attempt, qt.Equals, first.Attempt)
 		n.expectRefused(RefusedFailed)
 		expectNo[Send](n)
 	})
 
-	t.Run("it ends while its stages run", func(t *testing.T) {
+	t.Run("a request whose stages run is refused after the verdict", func(t *testing.T) {
 		n := newNode(t)
-		n.on(Arrived{Submission: n.marked(streamRequest(1, chuteroute.Resumable), "p")})
-		n.elsewhere("p", "a", "b", "c")
+		n.on(Arrived{Submission: n.withFingerprint(streamRequest(1, chuteroute.Resumable), "p")})
+		n.reportRemoteCrashes("p", "a", "b", "c")
 		n.expectRefused(RefusedNotRun)
 		n.answerParts()
 		expectNo[Send](n)
 	})
 
-	t.Run("a stream that has begun runs on, and is not resumed", func(t *testing.T) {
+	t.Run("a stream that has begun continues, and is not resumed", func(t *testing.T) {
 		n := newNode(t)
-		s := n.submit(n.marked(streamRequest(1, chuteroute.Resumable), "p"))
+		s := n.submit(n.withFingerprint(streamRequest(1, chuteroute.Resumable), "p"))
 		n.on(AttemptBegan{Handle: s.Handle, Attempt: s.Attempt})
-		n.elsewhere("p", "a", "b", "c")
+		n.reportRemoteCrashes("p", "a", "b", "c")
 		expectNo[CancelSend](n)
 		n.endCall(s, EndBroken)
 		n.answerParts()
@@ -143,88 +143,88 @@
 		n.expectRefused(RefusedFailed)
 	})
 
-	t.Run("neither is one without stages", func(t *testing.T) {
+	t.Run("a stream without stages is not resumed either", func(t *testing.T) {
 		n := newNode(t)
 		bare := streamRequest(1, chuteroute.Resumable)
 		bare.Pipeline.Stages, bare.Parts = nil, nil
-		s := n.submit(n.marked(bare, "p"))
+		s := n.submit(n.withFingerprint(bare, "p"))
 		n.on(AttemptBegan{Handle: s.Handle, Attempt: s.Attempt})
-		n.elsewhere("p", "a", "b", "c")
+		n.reportRemoteCrashes("p", "a", "b", "c")
 		n.endCall(s, EndBroken)
 		expectNo[Send](n)
 		n.expectRefused(RefusedFailed)
 	})
 
-	t.Run("an upstream that was leaving has ended as it was told to", func(t *testing.T) {
+	t.Run("the end of an upstream that was leaving is no crash", func(t *testing.T) {
 		n := newNode(t)
-		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		list := testUpstreams()
 		for i := range list {
 			list[i].State = chutefleet.StateLeaving
 		}
 		n.on(UpstreamsListed{Upstreams: list})
-		n.crashes(s)
+		n.reportCrash(s)
 		expectNo[AnnounceCrash](n)
 	})
 
-	t.Run("so has one that has left the list without a word", func(t *testing.T) {
-		// Some upstreams never say that they leave: their entries go, they serve on for a
-		// while, and end.
+	t.Run("the end of an upstream that is no longer listed is no crash", func(t *testing.T) {
+		// Some upstreams never report that they leave: their entries are removed, they serve
+		// for a while, and end.
 		n := newNode(t)
-		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
-		n.relist(1)
-		n.crashes(s)
+		s := n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a"))
+		n.relistRestarted(1)
+		n.reportCrash(s)
 		expectNo[AnnounceCrash](n)
 	})
 
-	t.Run("so has one that started again after it", func(t *testing.T) {
+	t.Run("the restart of an upstream that was leaving is no crash", func(t *testing.T) {
 		n := newNode(t)
-		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		n.on(AttemptEnded{Handle: s.Handle, Attempt: 0, Leaving: true})
 		n.state.fleet = n.state.fleet.WithLeaving(s.Upstream.ID)
 		n.restart(s.Upstream.Name)
 		expectNo[AnnounceCrash](n)
 	})
 
-	t.Run("one that started again without leaving ended under its calls", func(t *testing.T) {
-		// The connection went silent with the process. The list tells of a later start
+	t.Run("the restart of an upstream that was not leaving is a crash", func(t *testing.T) {
+		// The connection went silent when the process ended. The list has a later start time
 		// under the same name.
 		n := newNode(t)
-		s := n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a"))
+		s := n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a"))
 		n.restart(s.Upstream.Name)
 		n.Assert(takeOne[AnnounceCrash](n).Crash.Upstream, qt.Equals, s.Upstream.ID)
 	})
 
-	t.Run("a connection that broke alone says nothing", func(t *testing.T) {
+	t.Run("a broken connection alone is no crash", func(t *testing.T) {
 		n := newNode(t)
-		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndBroken)
+		n.endCall(n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a")), EndBroken)
 		expectNo[AnnounceCrash](n)
 	})
 
-	t.Run("an answer clears a request, at all nodes", func(t *testing.T) {
+	t.Run("an answer clears a request at all nodes", func(t *testing.T) {
 		n := newNode(t)
-		n.elsewhere("a", "x", "y")
-		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
+		n.reportRemoteCrashes("a", "x", "y")
+		n.endCall(n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
 		j := takeOne[AnnounceJudgement](n).Judgement
 		n.Assert(j.Verdict, qt.Equals, chutequarantine.VerdictCleared)
 		n.Assert(j.Upstreams, qt.ContentEquals, []string{"x", "y"})
-		n.elsewhere("a", "z")
+		n.reportRemoteCrashes("a", "z")
 		n.expectHeld("a", false)
 		other := newNode(t)
-		other.elsewhere("a", "x", "y")
+		other.reportRemoteCrashes("a", "x", "y")
 		other.on(QuarantineAnnounced{Judgements: []chutequarantine.Judgement{j}})
-		other.elsewhere("a", "z")
+		other.reportRemoteCrashes("a", "z")
 		other.expectHeld("a", false)
 	})
 
-	t.Run("a request that nothing speaks against tells nothing when it is answered", func(t *testing.T) {
+	t.Run("an answered request that is not suspected is not announced", func(t *testing.T) {
 		n := newNode(t)
-		n.endCall(n.submit(n.marked(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
+		n.endCall(n.submit(n.withFingerprint(plainRequest(1, chuteroute.Unrepeatable), "a")), EndAnswered)
 		expectNo[AnnounceJudgement](n)
 	})
 }
 
-// partsJob is a peer's job of a few parts.
+// partsJob returns a peer's job with the given number of parts.
 func partsJob(n *node, token uint64, fingerprint string, parts int) JobReceived {
 	return JobReceived{Token: token, Job: chutebatch.Job{
 		Request: fmt.Sprint("r", token), Fingerprint: fingerprint, Pool: partPool, Parts: parts, Key: "k",
@@ -233,10 +233,10 @@
 }
 
 func TestQuarantineOfStages(t *testing.T) {
-	t.Run("one that ends what makes its parts is found among others in its calls", func(t *testing.T) {
-		// Three requests' parts share a call, and its upstream ends. Queued again they run
-		// apart from each other: two are made, and the next end accuses one alone. Its job is
-		// given up there, so that no request ends a pool in one sending.
+	t.Run("a request that ends upstreams is found among others in shared calls", func(t *testing.T) {
+		// The parts of three requests share a call, and its upstream ends. When they are queued
+		// again, they run in separate calls: two succeed, and the next crash has one suspect.
+		// Its job is rejected then, so that no request ends a whole pool in one sending.
 		n := newNode(t)
 		n.state.settings.Retries.Slack = 1000
 		blocked := n.startCall(t, 9)
@@ -248,41 +248,41 @@
 		takeOne[ReturnResults](n)
 		shared := takeOne[RunCall](n)
 		n.Assert(shared.Call.Parts, qt.HasLen, 6)
-		n.callCrashes(shared)
+		n.reportCallCrash(shared)
 		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 3)
-		n.relist(1)
+		n.relistRestarted(1)
 		ended := n.runAlone("p")
 		n.Assert(ended, qt.Equals, 1)
 		n.Assert(takeAll[ReturnResults](n), qt.HasLen, 2)
 		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartUpstreamsEnded))
 	})
 
-	t.Run("a peer's job is refused after the verdict, and taken back when it falls", func(t *testing.T) {
+	t.Run("a peer's waiting job is rejected by the verdict, and new ones after it", func(t *testing.T) {
 		n := newNode(t)
 		n.startCall(t, 8)
 		n.startCall(t, 9)
 		n.on(partsJob(n, 1, "p", 2))
-		n.elsewhere("p", "a", "b", "c")
+		n.reportRemoteCrashes("p", "a", "b", "c")
 		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
 		n.on(partsJob(n, 2, "p", 2))
 		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartQuarantined))
 	})
 
-	t.Run("a caller whose stage ended upstreams hears it at once", func(t *testing.T) {
+	t.Run("a request whose stage ended upstreams is refused at once", func(t *testing.T) {
 		n := newNode(t)
 		n.state.settings.Retries.Slack = 1000
-		n.on(Arrived{Submission: n.marked(streamRequest(1, chuteroute.Resumable), "p")})
-		n.callCrashes(takeOne[RunCall](n))
-		n.callCrashes(takeOne[RunCall](n))
+		n.on(Arrived{Submission: n.withFingerprint(streamRequest(1, chuteroute.Resumable), "p")})
+		n.reportCallCrash(takeOne[RunCall](n))
+		n.reportCallCrash(takeOne[RunCall](n))
 		r := n.expectRefused(RefusedNotRun)
 		n.Assert(r.RetryAfter, qt.Equals, crashRetryAfter)
 		expectNo[RunCall](n)
 	})
 
 	for _, order := range [][]string{{"a", "p"}, {"p", "a"}} {
-		t.Run("the parts of one that is suspected share no call from the start", func(t *testing.T) {
+		t.Run("the parts of a suspected request share no call from the start", func(t *testing.T) {
 			n := newNode(t)
-			n.elsewhere("p", "u")
+			n.reportRemoteCrashes("p", "u")
 			blocked := n.startCall(t, 9)
 			n.startCall(t, 8)
 			for i, f := range order {
@@ -293,7 +293,7 @@
 		})
 	}
 
-	t.Run("a restart accuses what was under way there", func(t *testing.T) {
+	t.Run("a restart makes the requests that ran there suspects", func(t *testing.T) {
 		n := newNode(t)
 		n.state.settings.Retries.Slack = 1000
 		n.on(partsJob(n, 1, "p", 2))
@@ -303,7 +303,7 @@
 	})
 }
 
-// startCall takes one of the parts' upstreams for another request's call.
+// startCall starts another request's call, which occupies one of the parts' upstreams.
 func (n *node) startCall(t *testing.T, token uint64) RunCall {
 	t.Helper()
 	n.on(partsJob(n, token, fmt.Sprint("busy", token), 1))
@@ -311,8 +311,9 @@
 	return takeOne[RunCall](n)
 }
 
-// runAlone answers calls until none is left, but those with parts of a poison request end
-// their upstream; it returns how many, and fails if any of these had others' parts.
+// runAlone answers calls until none is left, except that calls with parts of the poison request
+// end their upstream. It returns the number of these, and fails if a call has parts of several
+// requests.
 func (n *node) runAlone(poison string) int {
 	n.Helper()
 	ended := 0
@@ -329,9 +330,9 @@
 				continue
 			}
 			ended++
-			n.callCrashes(call)
+			n.reportCallCrash(call)
 			n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 1)
-			n.relist(1 + ended)
+			n.relistRestarted(1 + ended)
 		}
 	}
 
--- a/internal/chuterelay/warmup_test.go
+++ b/internal/chuterelay/warmup_test.go
@@ -16,38 +16,39 @@
 )
 
 const (
-	// coldRate, coldFactor and coldSlack are what the operator says of cold upstreams: they
+	// coldRate, coldFactor and coldSlack are the operator's limits for cold upstreams, which
 	// end when more than coldRate x coldFactor + coldSlack calls reach them in a second.
 	coldRate   = 9.1
 	coldFactor = 1.5
 	coldSlack  = 5
-	// coldStep and coldTime are how a spell is told, and how long one is.
+	// coldStep is the remaining cold time that an upstream's entry states, coldTime the pool's
+	// warm-up time.
 	coldStep = 5 * time.Second
 	coldTime = 3 * time.Second
-	// coldCall is how long each call of the simulation takes.
+	// coldCall is the duration of each simulated call.
 	coldCall = 400 * time.Millisecond
 )
 
-// coldSim is a set of nodes in front of one pool, without a network and on one clock.
+// coldSim simulates a set of nodes in front of one pool, without a network and with one clock.
 type coldSim struct {
 	nodes []State
 	now   time.Time
 	rand  *rand.Rand
-	// sent are the times of the calls to each upstream.
+	// sent holds the times of the calls to each upstream.
 	sent map[string][]time.Time
-	// ends are the calls under way, in the order of their ends.
+	// ends holds the running calls, in the order of their ends.
 	ends    []coldEnd
 	handles uint64
-	// callers are those of the sendings, by handle.
-	callers map[uint64]coldBack
-	// backs are the callers that come back after a refusal, in the order of their times.
-	backs []coldBack
-	// tries counts the sendings of each caller that is not served yet.
+	// callers holds the callers of the requests, by handle.
+	callers map[uint64]waitingCaller
+	// backs holds the callers that retry after a refusal, in the order in which they were refused.
+	backs []waitingCaller
+	// tries counts the requests of each caller that is not served yet.
 	tries map[string]int
 }
 
-// coldBack is a caller that was refused.
-type coldBack struct {
+// waitingCaller is a caller of a request, with the time of its next retry once it was refused.
+type waitingCaller struct {
 	at       time.Time
 	id       string
 	affinity string
@@ -59,9 +60,9 @@
 	send Send
 }
 
-// newColdSim returns nodes that know each other and a pool of warm engines, with calls under way.
+// newColdSim returns nodes that know each other and a pool of warm engines.
 func newColdSim(nodes, engines int, config chuteroute.Config) *coldSim {
-	s := &coldSim{now: start, rand: rand.New(rand.NewPCG(1, 2)), sent: map[string][]time.Time{}, tries: map[string]int{}, callers: map[uint64]coldBack{}}
+	s := &coldSim{now: start, rand: rand.New(rand.NewPCG(1, 2)), sent: map[string][]time.Time{}, tries: map[string]int{}, callers: map[uint64]waitingCaller{}}
 	var peers []Peer
 	for i := range nodes {
 		peers = append(peers, Peer{Name: fmt.Sprint("n", i), Zone: "z1", Power: 1})
@@ -87,7 +88,7 @@
 
 var coldPace = &chuteroute.Warmup{Time: coldTime, CallsPerSecond: coldRate}
 
-// list tells all nodes of the pool, whose first engines are cold.
+// list lists the pool at all nodes; its first engines are cold.
 func (s *coldSim) list(engines, cold int) {
 	var all []chutefleet.Upstream
 	for i := range engines {
@@ -122,13 +123,13 @@
 	}
 }
 
-// arrive has a new caller send a request to some node.
+// arrive sends a new caller's request to a random node.
 func (s *coldSim) arrive(affinity string) {
-	s.ask(coldBack{id: fmt.Sprint("c", s.handles), affinity: affinity})
+	s.ask(waitingCaller{id: fmt.Sprint("c", s.handles), affinity: affinity})
 }
 
-// ask has a caller send its request.
-func (s *coldSim) ask(caller coldBack) {
+// ask sends a caller's request to a random node.
+func (s *coldSim) ask(caller waitingCaller) {
 	s.handles++
 	s.callers[s.handles] = caller
 	s.tries[caller.id]++
@@ -142,7 +143,7 @@
 	}})
 }
 
-// pass lets time go by with so many requests a second, each with the prefix that draw names.
+// pass advances the clock with perSecond requests a second, each with the affinity that draw returns.
 func (s *coldSim) pass(d time.Duration, perSecond float64, draw func() string) {
 	const step = 5 * time.Millisecond
 	due := 0.0
@@ -163,8 +164,8 @@
 	}
 }
 
-// worst is the most calls that any cold engine got in one second.
-func (s *coldSim) worst(cold int) int {
+// maxCallsPerSecond returns the most calls that any cold engine got in one second.
+func (s *coldSim) maxCallsPerSecond(cold int) int {
 	worst := 0
 	for i := range cold {
 		sent := s.sent[fmt.Sprint("e", i, "-again")]
@@ -184,7 +185,7 @@
 	return func() string { return fmt.Sprint("s", r.IntN(1000)) }
 }
 
-// coldLoad is a load on which the nodes' own view misleads them.
+// coldLoad is a load for which each node's own view is misleading.
 type coldLoad struct {
 	name          string
 	engines, cold int
@@ -192,21 +193,21 @@
 }
 
 var coldLoads = []coldLoad{
-	{name: "one engine comes back into a busy pool", engines: 20, cold: 1, run: func(s *coldSim) {
+	{name: "one engine restarts in a busy pool", engines: 20, cold: 1, run: func(s *coldSim) {
 		none := func() string { return "" }
 		s.pass(time.Second, 600, none)
 		s.list(20, 1)
 		s.pass(coldTime, 600, none)
 	}},
-	{name: "a small pool has one of its engines back", engines: 3, cold: 1, run: func(s *coldSim) {
+	{name: "one engine restarts in a small pool", engines: 3, cold: 1, run: func(s *coldSim) {
 		s.list(3, 1)
 		s.pass(coldTime, 90, anyPrefix(s.rand))
 	}},
-	{name: "the holder of a prompt that everybody asks for is cold", engines: 20, cold: 20, run: func(s *coldSim) {
+	{name: "the holder of a prompt that all callers send is cold", engines: 20, cold: 20, run: func(s *coldSim) {
 		s.list(20, 20)
 		s.pass(coldTime, 60, func() string { return "hot" })
 	}},
-	{name: "callers come back all at once to a zone that has returned", engines: 30, cold: 10, run: func(s *coldSim) {
+	{name: "all callers retry at once when a zone has returned", engines: 30, cold: 10, run: func(s *coldSim) {
 		s.pass(time.Second, 300, anyPrefix(s.rand))
 		s.list(30, 10)
 		for range 600 {
@@ -216,35 +217,35 @@
 	}},
 }
 
-// coldSizes are the numbers of nodes that are played.
+// coldSizes are the simulated numbers of nodes.
 var coldSizes = []int{8, 65, 195, 400}
 
 func TestWarmup(t *testing.T) {
-	// Engines start and are empty, which makes them everybody's best choice. More calls in
-	// a second than a cold one bears end it, and the next ones after it: callers lose what
-	// ran there. Nodes know neither of each other's calls nor have time to ask.
-	const bears = coldRate*coldFactor + coldSlack
+	// Engines that have just started are empty, so all nodes prefer them. If a cold engine gets
+	// more calls in a second than it can take, it ends, and then the next ones do: callers lose
+	// what ran there. Nodes neither know each other's calls nor have time to ask for them.
+	const maxCalls = coldRate*coldFactor + coldSlack
 	for _, load := range coldLoads {
 		for _, size := range coldSizes {
 			t.Run(fmt.Sprintf("%s, %d nodes", load.name, size), func(t *testing.T) {
 				s := newColdSim(size, load.engines, coldConfig(coldPace))
 				load.run(s)
-				qt.Assert(t, float64(s.worst(load.cold)) <= bears, qt.IsTrue, qt.Commentf("%d calls in a second", s.worst(load.cold)))
+				qt.Assert(t, float64(s.maxCallsPerSecond(load.cold)) <= maxCalls, qt.IsTrue, qt.Commentf("%d calls in a second", s.maxCallsPerSecond(load.cold)))
 			})
 		}
 	}
 
-	t.Run("these loads end a cold engine without a bound", func(t *testing.T) {
+	t.Run("without a bound these loads end a cold engine", func(t *testing.T) {
 		for _, load := range coldLoads {
 			s := newColdSim(65, load.engines, coldConfig(nil))
 			load.run(s)
-			qt.Check(t, float64(s.worst(load.cold)) > bears, qt.IsTrue, qt.Commentf("%s: %d calls in a second", load.name, s.worst(load.cold)))
+			qt.Check(t, float64(s.maxCallsPerSecond(load.cold)) > maxCalls, qt.IsTrue, qt.Commentf("%s: %d calls in a second", load.name, s.maxCallsPerSecond(load.cold)))
 		}
 	})
 
-	t.Run("a pool that is cold as a whole serves what it bears", func(t *testing.T) {
-		// All engines were replaced at once. A node that has sent its part refuses at once,
-		// and its callers are served by the next one or by the one after it.
+	t.Run("a pool of only cold engines serves as many calls as they can take", func(t *testing.T) {
+		// All engines were replaced at once. A node that has used up its share refuses at once,
+		// and its callers are served by the next node or by the one after it.
 		s := newColdSim(65, 20, coldConfig(coldPace))
 		s.list(20, 20)
 		s.pass(2*time.Second, 100, anyPrefix(s.rand))
@@ -255,7 +256,7 @@
 		qt.Assert(t, s.tries, qt.HasLen, 0)
 	})
 
-	t.Run("nodes that come and go meanwhile, heard of one by one, don't break the bound", func(t *testing.T) {
+	t.Run("the bound holds while nodes learn one by one of a changed list of nodes", func(t *testing.T) {
 		s := newColdSim(65, 20, coldConfig(coldPace))
 		s.list(20, 20)
 		var peers []Peer
@@ -268,10 +269,10 @@
 			s.on(order[0], PeersListed{Peers: peers})
 			order = order[1:]
 		}
-		qt.Assert(t, float64(s.worst(20)) <= bears, qt.IsTrue, qt.Commentf("%d calls in a second", s.worst(20)))
+		qt.Assert(t, float64(s.maxCallsPerSecond(20)) <= maxCalls, qt.IsTrue, qt.Commentf("%d calls in a second", s.maxCallsPerSecond(20)))
 	})
 
-	t.Run("a zone that is taken back counts as cold before its entries say so", func(t *testing.T) {
+	t.Run("a zone whose evacuation ends counts as cold before its entries say so", func(t *testing.T) {
 		s := newColdSim(65, 20, coldConfig(coldPace))
 		for i := range s.nodes {
 			s.on(i, ZonesEvacuated{Zones: []string{"z1"}})
@@ -281,13 +282,13 @@
 		for _, id := range slices.Collect(maps.Keys(s.sent)) {
 			s.sent[id+"-again"] = s.sent[id]
 		}
-		qt.Assert(t, float64(s.worst(20)) <= bears, qt.IsTrue, qt.Commentf("%d calls in a second", s.worst(20)))
+		qt.Assert(t, float64(s.maxCallsPerSecond(20)) <= maxCalls, qt.IsTrue, qt.Commentf("%d calls in a second", s.maxCallsPerSecond(20)))
 	})
 }
 
 func TestWarmupOfStages(t *testing.T) {
-	// An upstream that runs parts has just started and bears one call a second. The collector
-	// gives it one; the other parts go to the warm one, call by call.
+	// An upstream that runs parts has just started and can take one call a second. The collector
+	// sends it one; the other parts go to the warm upstream, call by call.
 	n := newNode(t)
 	cfg := testConfig(2)
 	pool := cfg.Pools[partPool]
