--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -12,27 +12,27 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// answerLimited answers a call of the only request with a limit.
+// answerLimited ends a call with an answer that names a limit.
 func (n *node) answerLimited(s Send, limit Limit) {
 	n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndAnswered, HasAnswer: true, Limit: &limit})
 }
 
 func TestLimitTold(t *testing.T) {
-	// Guards against hundreds of nodes that each find out about a limit by a call of their own.
+	// Guards against hundreds of nodes that each learn of a limit by a call of their own.
 	n := newNode(t)
-	n.on(Arrived{Submission: plain(1, chuteroute.Repeatable)})
-	sent := only[Send](n)
+	n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
+	sent := takeOne[Send](n)
 	n.answerLimited(sent, Limit{Named: true, PerSecond: 2})
-	told := only[AnnounceLimit](n).Limit
+	told := takeOne[AnnounceLimit](n).Limit
 
-	t.Run("a limit that an answer names is told", func(t *testing.T) {
+	t.Run("a limit named by an answer is announced", func(t *testing.T) {
 		c := qt.New(t)
 		c.Assert(told.Upstream, qt.Equals, sent.Upstream.ID)
 		c.Assert(told.Limited, qt.IsTrue)
 		c.Assert(told.PerSecond, qt.Equals, 2.0)
 	})
 
-	t.Run("a node that hears it keeps to it without a call", func(t *testing.T) {
+	t.Run("a node that gets the announcement applies it without a call", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
 		told.Teller = "n2"
@@ -40,7 +40,7 @@
 		limit, limited := other.state.Fleet().Limit(told.Upstream)
 		c.Assert(limited, qt.IsTrue)
 		c.Assert(limit.PerSecond, qt.Equals, 2.0)
-		c.Assert(take[AnnounceLimit](other), qt.HasLen, 0)
+		c.Assert(takeAll[AnnounceLimit](other), qt.HasLen, 0)
 
 		told.Limited = false
 		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{told}})
@@ -48,7 +48,7 @@
 		c.Assert(limited, qt.IsFalse)
 	})
 
-	t.Run("a word on an upstream that is not listed yet counts once it is", func(t *testing.T) {
+	t.Run("an announcement about an upstream that is not listed yet applies once it is", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
 		told := told
@@ -62,12 +62,12 @@
 }
 
 func TestLimitOfStages(t *testing.T) {
-	// Guards against calls with parts beyond the limit of an upstream that runs stages.
+	// Guards against batched calls beyond the limit of an upstream that runs stages.
 	n := newNode(t)
-	n.on(Arrived{Submission: many(1)})
+	n.on(Arrived{Submission: manyPartsRequest(1)})
 	calls := map[string]int{}
 	for range 5 {
-		for _, call := range take[RunCall](n) {
+		for _, call := range takeAll[RunCall](n) {
 			calls[call.Upstream.ID]++
 			n.pass(100 * time.Millisecond)
 			limit := &Limit{}
@@ -85,8 +85,8 @@
 	n.Assert(calls[partPool+"1"] > 2, qt.IsTrue, qt.Commentf("%d calls", calls[partPool+"1"]))
 }
 
-// Guards against requests whose stages are made although no upstream may take their call, and
-// against callers who come back before one may.
+// Guards against requests whose stages run although no upstream may take their call, and against
+// callers who retry before an upstream may.
 func TestLimitRefusesAtOnce(t *testing.T) {
 	n := newNode(t)
 	n.on(ConfigAdopted{Config: testConfig(2)})
@@ -96,11 +96,11 @@
 		}}})
 	}
 	for handle := range uint64(2) {
-		n.sent(stream(handle+1, chuteroute.Repeatable))
+		n.submit(streamRequest(handle+1, chuteroute.Repeatable))
 	}
-	n.on(Arrived{Submission: stream(3, chuteroute.Repeatable)})
-	refusal := only[Refuse](n).Refusal
-	n.Assert(take[RequestJob](n), qt.HasLen, 0)
+	n.on(Arrived{Submission: streamRequest(3, chuteroute.Repeatable)})
+	refusal := takeOne[Refuse](n).Refusal
+	n.Assert(takeAll[RequestJob](n), qt.HasLen, 0)
 	n.Assert(refusal.Kind, qt.Equals, RefusedNotRun)
 	n.Assert(refusal.Reason, qt.Contains, "2 Limited")
 	n.Assert(refusal.RetryAfter >= maxLimitRetryAfter/2, qt.IsTrue, qt.Commentf("%v", refusal.RetryAfter))
--- a/internal/chuterelay/zones_test.go
+++ b/internal/chuterelay/zones_test.go
@@ -31,13 +31,13 @@
 	return n
 }
 
-// untilFar sends plain requests until one goes to the other zone; the earlier ones
-// keep the near upstreams busy.
+// untilFar sends plain requests until one is sent to the other zone; the earlier ones keep the
+// upstreams of the node's own zone busy.
 func (n *node) untilFar(handle *uint64) Send {
 	n.Helper()
 	for range 200 {
 		*handle++
-		s := n.sent(plain(*handle, chuteroute.Repeatable))
+		s := n.submit(plainRequest(*handle, chuteroute.Repeatable))
 		if s.Upstream.Zone == "z2" {
 			return s
 		}
@@ -48,19 +48,20 @@
 }
 
 func TestZoneCutOff(t *testing.T) {
-	t.Run("after two silent upstreams no request is tried there", func(t *testing.T) {
-		// A zone is cut off. Its upstreams accept nothing and refuse nothing, and each
-		// attempt takes a third of a second to fail. Callers would meet them one by one.
+	t.Run("after two silent upstreams no request is sent to the zone", func(t *testing.T) {
+		// A zone is cut off. Its upstreams neither accept nor refuse connections, and each
+		// attempt takes a third of a second to fail. Without the detection, requests would
+		// try these upstreams one by one.
 		n := withFarZone(t)
 		handle := uint64(0)
 		n.loseFar(&handle)
 		for range 30 {
 			handle++
-			n.Assert(n.sent(plain(handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, "z1")
+			n.Assert(n.submit(plainRequest(handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, "z1")
 		}
 	})
 
-	t.Run("a probe that gets through ends it", func(t *testing.T) {
+	t.Run("a successful probe ends the cut-off", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		lost := n.loseFar(&handle)
@@ -72,30 +73,30 @@
 			n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsTrue)
 		}
 		n.on(ProbeEnded{Upstream: lost[0], Alive: true})
-		n.Assert(only[LogZone](n), qt.DeepEquals, LogZone{Zone: "z2"})
+		n.Assert(takeOne[LogZone](n), qt.DeepEquals, LogZone{Zone: "z2"})
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
 
-	t.Run("refused connections are no proof: something there answers", func(t *testing.T) {
+	t.Run("refused connections do not count as silence, since something replies", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
 		for range 2 {
 			s := n.untilFar(&handle)
 			n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable})
-			take[Send](n)
+			takeAll[Send](n)
 		}
 		n.Assert(n.state.zoneSilence.cutOff("z2", n.now), qt.IsFalse)
 	})
 
-	t.Run("the own zone is never given up", func(t *testing.T) {
+	t.Run("the node's own zone never counts as cut off", func(t *testing.T) {
 		c := qt.New(t)
 		z := newZoneSilence("z1").withSilent("z1", "a", start).withSilent("z1", "b", start)
 		c.Assert(z.cutOff("z1", start), qt.IsFalse)
 	})
 
-	t.Run("stages are collected and made in a zone that is reached", func(t *testing.T) {
-		// A request was planned for the other zone. Its collectors are silent one after
-		// the other; asked in turn they would use up all tries and the caller's time.
+	t.Run("stages are collected and run in a reachable zone", func(t *testing.T) {
+		// A request was planned for the other zone, whose collectors are all silent. Asking
+		// them in turn would use up all attempts and the caller's time.
 		n := withFarZone(t)
 		var all []Peer
 		for i := range 20 {
@@ -104,32 +105,32 @@
 		n.on(PeersListed{Peers: append(all, self)})
 		handle := uint64(100)
 		n.loseFar(&handle)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[RequestJob](n)
-		n.Assert(only[RunCall](n).Upstream.Zone, qt.Equals, "z1")
+		n.Assert(takeOne[RunCall](n).Upstream.Zone, qt.Equals, "z1")
 	})
 
-	t.Run("silent nodes prove it too", func(t *testing.T) {
+	t.Run("silent nodes count as silent endpoints too", func(t *testing.T) {
 		n := withPeer(t)
-		n.on(Arrived{Submission: stream(1, chuteroute.Resumable)})
-		asked := only[RequestJob](n)
+		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
+		asked := takeOne[RequestJob](n)
 		n.on(JobFailed{JobRequestID: asked.JobRequestID, PeerLost: true, PeerSilent: true, Reason: "silent"})
 		known, _ := n.state.zoneSilence.silent.Get("z2")
 		n.Assert(known, qt.HasLen, 1)
 	})
 }
 
-// loseFar makes two upstreams of the other zone silent to requests and returns them.
+// loseFar makes two upstreams of the other zone silent and returns their ids.
 func (n *node) loseFar(handle *uint64) []string {
 	n.Helper()
 	var lost []string
 	for range minSilentEndpoints {
 		s := n.untilFar(handle)
 		n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable, Silent: true})
-		take[Send](n)
+		takeAll[Send](n)
 		lost = append(lost, s.Upstream.ID)
 	}
-	told := only[LogZone](n)
+	told := takeOne[LogZone](n)
 	n.Assert(told.CutOff, qt.IsTrue)
 	n.Assert(told.Silent, qt.HasLen, minSilentEndpoints)
 	n.effects = nil
