--- a/internal/chuterelay/quarantine_sim_test.go
+++ b/internal/chuterelay/quarantine_sim_test.go
@@ -15,101 +15,104 @@
 )
 
 const (
-	// touch is how long a node has to be without any fault before it is bound by what
-	// the others know.
-	touch = 3 * time.Second
-	// mostLater is how often nodes may still send a request on that is known for long.
-	mostLater = 3
-	// dayLife is how long one simulated day lasts.
-	dayLife = 60 * time.Second
+	// reconnectGrace is how long a node has to be without faults before it must know what the
+	// other nodes have announced.
+	reconnectGrace = 3 * time.Second
+	// maxLateSends is how often connected nodes may still send a poison request to an upstream
+	// later than reconnectGrace after its third crash.
+	maxLateSends = 3
+	// quarantineRunDuration is the simulated time of one run.
+	quarantineRunDuration = 60 * time.Second
 )
 
-// simUpstream is one upstream with its present incarnation.
+// simUpstream is a simulated upstream; id identifies its current process.
 type simUpstream struct {
 	id    string
 	down  bool
 	calls map[string]simCall
 }
 
-// simCall is a call under way.
+// simCall is a call in progress.
 type simCall struct {
 	node *simNode
-	// life tells the node's process from those before it.
-	life int
-	send Send
+	// process numbers the node's process that sent the call.
+	process int
+	send    Send
 }
 
-// simNode is one node; cut says that it reaches no other node and not the store.
+// simNode is a simulated node. While cut is set, it reaches neither other nodes nor the store.
 type simNode struct {
-	name     string
-	state    State
-	life     int
-	cut      bool
-	troubled time.Time
-	handles  uint64
-	by       map[uint64]Submission
-	unkept   []simRow
-	writing  bool
+	name        string
+	state       State
+	process     int
+	cut         bool
+	faultedAt   time.Time
+	handles     uint64
+	submissions map[uint64]Submission
+	unwritten   []simRow
+	writing     bool
 }
 
-// simRow is a crash or a judgement in the store.
+// simRow is a crash or a judgement as stored, with the announcement that carries it.
 type simRow struct {
-	key   string
-	heard QuarantineAnnounced
+	key          string
+	announcement QuarantineAnnounced
 }
 
-// simWorld is a pool of upstreams, a store and nodes in simulated time.
+// simWorld simulates a pool of upstreams, a store and nodes.
 type simWorld struct {
 	*qt.C
 	*simClock
 
-	nodes     []*simNode
-	upstreams []*simUpstream
-	started   int
-	rows      []simRow
-	byKey     map[string]int
-	away      bool
-	awayUntil time.Time
-	life      time.Duration
-
-	// crashes counts the ends under each poison request, thirdAt is when the third fell,
-	// and later what nodes in touch sent on after that.
-	crashes map[string]int
-	thirdAt map[string]time.Time
-	later   map[string]int
-	// answered counts innocent requests, refused those that were set aside.
-	answered int
-	refused  []string
+	nodes          []*simNode
+	upstreams      []*simUpstream
+	started        int
+	rows           []simRow
+	byKey          map[string]int
+	storeDown      bool
+	storeDownUntil time.Time
+	duration       time.Duration
+
+	// The maps are keyed by the fingerprint of a poison request: crashes counts the upstream
+	// crashes it caused, thirdCrashAt is the time of the third, and lateSends counts the calls from
+	// connected nodes that arrived more than reconnectGrace after it.
+	crashes      map[string]int
+	thirdCrashAt map[string]time.Time
+	lateSends    map[string]int
+	// answered counts the requests answered. wronglyQuarantined holds the fingerprints of innocent
+	// requests that were refused while quarantined.
+	answered           int
+	wronglyQuarantined []string
 }
 
 func newSimWorld(t *testing.T, seed uint64, nodes int) *simWorld {
 	w := &simWorld{
-		C: qt.New(t), simClock: newSimClock(seed), life: dayLife, byKey: map[string]int{},
-		crashes: map[string]int{}, thirdAt: map[string]time.Time{}, later: map[string]int{},
+		C: qt.New(t), simClock: newSimClock(seed), duration: quarantineRunDuration, byKey: map[string]int{},
+		crashes: map[string]int{}, thirdCrashAt: map[string]time.Time{}, lateSends: map[string]int{},
 	}
 	for range 12 {
 		u := &simUpstream{}
 		w.upstreams = append(w.upstreams, u)
-		w.bear(u)
+		w.startUpstream(u)
 	}
 	for i := range nodes {
 		n := &simNode{name: fmt.Sprint("n", i)}
 		w.nodes = append(w.nodes, n)
-		w.boot(n)
+		w.startProcess(n)
 	}
 
 	return w
 }
 
-func (w *simWorld) bear(u *simUpstream) {
+func (w *simWorld) startUpstream(u *simUpstream) {
 	w.started++
 	u.id, u.down, u.calls = fmt.Sprint("u", w.started), false, map[string]simCall{}
 }
 
-// boot starts a node's process, which knows what the store has.
-func (w *simWorld) boot(n *simNode) {
-	n.life++
-	n.by, n.unkept, n.writing = map[uint64]Submission{}, nil, false
+// startProcess starts a node's process, which reads the store.
+func (w *simWorld) startProcess(n *simNode) {
+	n.process++
+	n.submissions, n.unwritten, n.writing = map[uint64]Submission{}, nil, false
 	n.state = NewState(Settings{
 		Self: Peer{Name: n.name, Zone: "z1"}, Retries: chutebudget.Settings{Ratio: 0.2, Slack: 50}, Seed: w.random.Uint64(),
 	})
@@ -119,13 +122,13 @@
 		peers = append(peers, Peer{Name: other.name, Zone: "z1"})
 	}
 	w.on(n, PeersListed{Peers: peers})
-	w.list(n)
-	w.readAll(n)
+	w.listUpstreams(n)
+	w.readStore(n)
 }
 
-// list tells a node the upstreams that are there.
-func (w *simWorld) list(n *simNode) {
-	if n.cut || w.away {
+// listUpstreams sends a node the list of running upstreams.
+func (w *simWorld) listUpstreams(n *simNode) {
+	if n.cut || w.storeDown {
 		return
 	}
 	var all []chutefleet.Upstream
@@ -139,54 +142,56 @@
 	w.on(n, UpstreamsListed{Upstreams: all})
 }
 
-// readAll tells a node what the store has.
-func (w *simWorld) readAll(n *simNode) {
-	if n.cut || w.away {
+// readStore sends a node all rows of the store.
+func (w *simWorld) readStore(n *simNode) {
+	if n.cut || w.storeDown {
 		return
 	}
 	for _, row := range w.rows {
-		w.on(n, row.heard)
+		w.on(n, row.announcement)
 	}
 }
 
-// on hands a node an event and carries out what follows.
+// on passes an event to a node and carries out the resulting effects.
 func (w *simWorld) on(n *simNode, e Event) {
 	var effects []Effect
 	n.state, effects = Reduce(n.state, w.now, e)
-	life := n.life
+	process := n.process
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case Send:
-			w.after(w.between(time.Millisecond, 5*time.Millisecond), func() { w.arrive(simCall{node: n, life: life, send: e}) })
+			w.after(w.between(time.Millisecond, 5*time.Millisecond), func() { w.arrive(simCall{node: n, process: process, send: e}) })
 		case JudgeAt:
-			w.after(e.At.Sub(w.now), func() { w.onLife(n, life, JudgeDue{}) })
+			w.after(e.At.Sub(w.now), func() { w.onProcess(n, process, JudgeDue{}) })
 		case Probe:
-			w.after(e.At.Sub(w.now), func() { w.onLife(n, life, ProbeEnded{Upstream: e.Upstream.ID, Alive: w.find(e.Upstream.ID) != nil}) })
+			w.after(e.At.Sub(w.now), func() {
+				w.onProcess(n, process, ProbeEnded{Upstream: e.Upstream.ID, Alive: w.findUpstream(e.Upstream.ID) != nil})
+			})
 		case AnnounceCrash:
-			w.tell(n, simRow{
-				key: e.Crash.Upstream + "|" + n.name, heard: QuarantineAnnounced{Crashes: []chutequarantine.Crash{e.Crash}},
+			w.announce(n, simRow{
+				key: e.Crash.Upstream + "|" + n.name, announcement: QuarantineAnnounced{Crashes: []chutequarantine.Crash{e.Crash}},
 			})
 		case AnnounceJudgement:
-			w.tell(n, simRow{
-				key: e.Judgement.Fingerprint, heard: QuarantineAnnounced{Judgements: []chutequarantine.Judgement{e.Judgement}},
+			w.announce(n, simRow{
+				key: e.Judgement.Fingerprint, announcement: QuarantineAnnounced{Judgements: []chutequarantine.Judgement{e.Judgement}},
 			})
 		case Deliver:
 			w.answered++
 		case Refuse:
-			w.refuse(n, e)
+			w.retryRefused(n, e)
 		}
 	}
 }
 
-// onLife hands an event to the process that it is meant for.
-func (w *simWorld) onLife(n *simNode, life int, e Event) {
-	if n.life == life {
+// onProcess passes an event to a node if the given process is still running.
+func (w *simWorld) onProcess(n *simNode, process int, e Event) {
+	if n.process == process {
 		w.on(n, e)
 	}
 }
 
-// find returns the upstream with an incarnation, nil if that has ended.
-func (w *simWorld) find(id string) *simUpstream {
+// findUpstream returns the upstream whose current process has the ID, nil if that process has ended.
+func (w *simWorld) findUpstream(id string) *simUpstream {
 	for _, u := range w.upstreams {
 		if u.id == id && !u.down {
 			return u
@@ -196,27 +201,27 @@
 	return nil
 }
 
-// poison says whether upstreams end under a request.
-func poison(fingerprint string) bool {
+// isPoison reports whether a request crashes upstreams.
+func isPoison(fingerprint string) bool {
 	return strings.HasPrefix(fingerprint, "poison")
 }
 
-// arrive brings a call to its upstream.
+// arrive delivers a call to its upstream.
 func (w *simWorld) arrive(c simCall) {
-	u := w.find(c.send.Upstream.ID)
+	u := w.findUpstream(c.send.Upstream.ID)
 	if u == nil {
-		w.after(time.Millisecond, func() { w.end(c, AttemptEnded{End: EndUnreachable}) })
+		w.after(time.Millisecond, func() { w.endCall(c, AttemptEnded{End: EndUnreachable}) })
 
 		return
 	}
-	key := fmt.Sprint(c.node.name, c.life, c.send.Attempt)
+	key := fmt.Sprint(c.node.name, c.process, c.send.Attempt)
 	u.calls[key] = c
-	f := c.node.by[c.send.Handle].Fingerprint
-	if poison(f) {
-		if at, ok := w.thirdAt[f]; ok && w.now.Sub(at) > touch && w.inTouch(c.node) {
-			w.later[f]++
+	f := c.node.submissions[c.send.Handle].Fingerprint
+	if isPoison(f) {
+		if at, ok := w.thirdCrashAt[f]; ok && w.now.Sub(at) > reconnectGrace && w.isConnected(c.node) {
+			w.lateSends[f]++
 		}
-		w.after(w.between(20*time.Millisecond, 300*time.Millisecond), func() { w.endBy(u, key, f) })
+		w.after(w.between(20*time.Millisecond, 300*time.Millisecond), func() { w.crashUpstream(u, key, f) })
 
 		return
 	}
@@ -224,86 +229,87 @@
 	w.after(w.between(20*time.Millisecond, 200*time.Millisecond), func() {
 		if _, runs := u.calls[key]; runs && u.id == id {
 			delete(u.calls, key)
-			w.end(c, AttemptEnded{End: EndAnswered, HasAnswer: true})
+			w.endCall(c, AttemptEnded{End: EndAnswered, HasAnswer: true})
 		}
 	})
 }
 
-// endBy ends an upstream by a call, if that still runs.
-func (w *simWorld) endBy(u *simUpstream, key, fingerprint string) {
+// crashUpstream ends an upstream's process because of a call, if that call is still running.
+func (w *simWorld) crashUpstream(u *simUpstream, key, fingerprint string) {
 	if _, runs := u.calls[key]; !runs || u.down {
 		return
 	}
 	w.crashes[fingerprint]++
 	if w.crashes[fingerprint] == 3 {
-		w.thirdAt[fingerprint] = w.now
+		w.thirdCrashAt[fingerprint] = w.now
 	}
 	w.endUpstream(u)
 }
 
-// endUpstream ends an upstream's process with all its calls; it is back under another name.
+// endUpstream ends an upstream's process and all its calls, and restarts it later under a new ID.
 func (w *simWorld) endUpstream(u *simUpstream) {
 	u.down = true
 	for _, c := range u.calls {
-		w.after(w.between(time.Millisecond, 10*time.Millisecond), func() { w.end(c, AttemptEnded{End: EndBroken, UpstreamEnded: true}) })
+		w.after(w.between(time.Millisecond, 10*time.Millisecond), func() { w.endCall(c, AttemptEnded{End: EndBroken, UpstreamEnded: true}) })
 	}
 	u.calls = map[string]simCall{}
 	w.after(w.between(2*time.Second, 4*time.Second), func() {
-		w.bear(u)
+		w.startUpstream(u)
 		for _, n := range w.nodes {
-			w.after(w.between(0, 800*time.Millisecond), func() { w.list(n) })
+			w.after(w.between(0, 800*time.Millisecond), func() { w.listUpstreams(n) })
 		}
 	})
 }
 
-func (w *simWorld) end(c simCall, e AttemptEnded) {
+func (w *simWorld) endCall(c simCall, e AttemptEnded) {
 	e.Handle, e.Attempt = c.send.Handle, c.send.Attempt
-	w.onLife(c.node, c.life, e)
+	w.onProcess(c.node, c.process, e)
 }
 
-// refuse notes what a caller hears; those who hear nothing sure come back once.
-func (w *simWorld) refuse(n *simNode, e Refuse) {
-	s := n.by[e.Handle]
-	if poison(s.Fingerprint) {
+// retryRefused records an innocent request that is quarantined. Whatever the reason for the
+// refusal, the caller of an innocent request sends it once more.
+func (w *simWorld) retryRefused(n *simNode, e Refuse) {
+	s := n.submissions[e.Handle]
+	if isPoison(s.Fingerprint) {
 		return
 	}
-	if _, held := n.state.quarantine.QuarantinedUntil(s.Fingerprint); held {
-		w.refused = append(w.refused, s.Fingerprint)
+	if _, quarantined := n.state.quarantine.QuarantinedUntil(s.Fingerprint); quarantined {
+		w.wronglyQuarantined = append(w.wronglyQuarantined, s.Fingerprint)
 	}
 	if !strings.HasSuffix(s.ID, "again") {
-		w.after(w.between(50*time.Millisecond, 500*time.Millisecond), func() { w.come(s.Fingerprint, s.ID+"again") })
+		w.after(w.between(50*time.Millisecond, 500*time.Millisecond), func() { w.sendRequest(s.Fingerprint, s.ID+"again") })
 	}
 }
 
-// tell brings a row to nearby nodes at once, and to the store when that is there.
-func (w *simWorld) tell(n *simNode, row simRow) {
+// announce delivers a row to up to 17 random nodes directly, and to the store once that is reachable.
+func (w *simWorld) announce(n *simNode, row simRow) {
 	for _, i := range w.random.Perm(len(w.nodes))[:min(17, len(w.nodes))] {
 		other := w.nodes[i]
 		w.after(w.between(time.Millisecond, 5*time.Millisecond), func() {
 			if !n.cut && !other.cut {
-				w.on(other, row.heard)
+				w.on(other, row.announcement)
 			}
 		})
 	}
-	n.unkept = append(n.unkept, row)
+	n.unwritten = append(n.unwritten, row)
 	if !n.writing {
 		n.writing = true
-		life := n.life
-		w.after(w.between(10*time.Millisecond, 50*time.Millisecond), func() { w.keep(n, life) })
+		process := n.process
+		w.after(w.between(10*time.Millisecond, 50*time.Millisecond), func() { w.writeRows(n, process) })
 	}
 }
 
-// keep writes a node's rows to the store, whose followers hear of them.
-func (w *simWorld) keep(n *simNode, life int) {
-	if n.life != life {
+// writeRows writes a node's rows to the store, which sends them to all nodes that reach it.
+func (w *simWorld) writeRows(n *simNode, process int) {
+	if n.process != process {
 		return
 	}
-	if n.cut || w.away {
-		w.after(w.between(0, 2*time.Second), func() { w.keep(n, life) })
+	if n.cut || w.storeDown {
+		w.after(w.between(0, 2*time.Second), func() { w.writeRows(n, process) })
 
 		return
 	}
-	for _, row := range n.unkept {
+	for _, row := range n.unwritten {
 		if i, ok := w.byKey[row.key]; ok {
 			w.rows[i] = row
 		} else {
@@ -312,17 +318,17 @@
 		}
 		for _, other := range w.nodes {
 			w.after(w.between(10*time.Millisecond, 400*time.Millisecond), func() {
-				if !other.cut && !w.away {
-					w.on(other, row.heard)
+				if !other.cut && !w.storeDown {
+					w.on(other, row.announcement)
 				}
 			})
 		}
 	}
-	n.unkept, n.writing = nil, false
+	n.unwritten, n.writing = nil, false
 }
 
-// come brings a request to some node.
-func (w *simWorld) come(fingerprint, id string) {
+// sendRequest sends a request to a random node.
+func (w *simWorld) sendRequest(fingerprint, id string) {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	n.handles++
 	s := plainRequest(n.handles, chuteroute.Unrepeatable)
@@ -330,46 +336,46 @@
 		s.Pipeline.Repeat = chuteroute.Repeatable
 	}
 	s.ID, s.Fingerprint, s.Deadline = id, fingerprint, w.now.Add(3*time.Second)
-	n.by[s.Handle] = s
+	n.submissions[s.Handle] = s
 	w.on(n, Arrived{Submission: s})
 }
 
-// inTouch says whether nothing has kept a node from the others for a while.
-func (w *simWorld) inTouch(n *simNode) bool {
-	return !n.cut && !w.away && w.now.Sub(n.troubled) > touch && w.now.Sub(w.awayUntil) > touch
+// isConnected reports whether the node and the store have been without faults for reconnectGrace.
+func (w *simWorld) isConnected(n *simNode) bool {
+	return !n.cut && !w.storeDown && w.now.Sub(n.faultedAt) > reconnectGrace && w.now.Sub(w.storeDownUntil) > reconnectGrace
 }
 
-// fault brings one trouble about that is over after some seconds.
-func (w *simWorld) fault() {
+// injectFault causes one random fault; cut-off nodes and an unreachable store recover after 1 to 6 s.
+func (w *simWorld) injectFault() {
 	n := w.nodes[w.random.IntN(len(w.nodes))]
 	span := w.between(time.Second, 6*time.Second)
 	switch w.random.IntN(6) {
-	case 0: // a node is killed and starts again
-		n.troubled = w.now
-		w.boot(n)
-	case 1: // all nodes are killed
+	case 0: // a node is killed and restarted
+		n.faultedAt = w.now
+		w.startProcess(n)
+	case 1: // all nodes are killed and restarted
 		for _, n := range w.nodes {
-			n.troubled = w.now
-			w.boot(n)
+			n.faultedAt = w.now
+			w.startProcess(n)
 		}
-	case 2: // a zone is cut off
+	case 2: // a zone is cut off from the other nodes and the store
 		zone := w.random.IntN(3)
 		for i, n := range w.nodes {
 			if i%3 == zone {
 				w.cut(n, span)
 			}
 		}
-	case 3: // the store is away
-		w.away = true
+	case 3: // the store is unreachable
+		w.storeDown = true
 		w.after(span, func() {
-			w.away, w.awayUntil = false, w.now
+			w.storeDown, w.storeDownUntil = false, w.now
 			for _, n := range w.nodes {
-				w.after(w.between(0, 1500*time.Millisecond), func() { w.list(n); w.readAll(n) })
+				w.after(w.between(0, 1500*time.Millisecond), func() { w.listUpstreams(n); w.readStore(n) })
 			}
 		})
-	case 4: // an upstream ends by itself
+	case 4: // an upstream ends without a poison request
 		w.endUpstream(w.upstreams[w.random.IntN(len(w.upstreams))])
-	case 5: // a rack loses its power
+	case 5: // four upstreams end at once, as when a rack loses power
 		for _, u := range w.upstreams[:4] {
 			w.endUpstream(u)
 		}
@@ -377,43 +383,43 @@
 }
 
 func (w *simWorld) cut(n *simNode, span time.Duration) {
-	n.cut, n.troubled = true, w.now
+	n.cut, n.faultedAt = true, w.now
 	w.after(span, func() {
-		n.cut, n.troubled = false, w.now
-		w.after(w.between(0, 1500*time.Millisecond), func() { w.list(n); w.readAll(n) })
+		n.cut, n.faultedAt = false, w.now
+		w.after(w.between(0, 1500*time.Millisecond), func() { w.listUpstreams(n); w.readStore(n) })
 	})
 }
 
-// run lets callers come and faults happen, and checks what holds.
+// run sends requests, injects faults if asked to, and checks the guarantees at the end.
 func (w *simWorld) run(faults bool) {
 	sent := 0
 	w.every(20*time.Millisecond, func() {
 		sent++
-		w.come(fmt.Sprint("innocent", sent), fmt.Sprint("i", sent))
+		w.sendRequest(fmt.Sprint("innocent", sent), fmt.Sprint("i", sent))
 	})
-	w.every(100*time.Millisecond, func() { w.come("common", "c") })
+	w.every(100*time.Millisecond, func() { w.sendRequest("common", "c") })
 	for i := range 2 {
-		w.every(time.Second, func() { w.come(fmt.Sprint("poison", i), "p") })
+		w.every(time.Second, func() { w.sendRequest(fmt.Sprint("poison", i), "p") })
 	}
-	w.every(time.Second, func() { w.come("poison-repeatable", "p") })
+	w.every(time.Second, func() { w.sendRequest("poison-repeatable", "p") })
 	if faults {
-		w.every(4*time.Second, w.fault)
+		w.every(4*time.Second, w.injectFault)
 	}
-	w.runUntil(start.Add(w.life))
-	for f, n := range w.later {
-		w.Check(n <= mostLater, qt.IsTrue, qt.Commentf("%s was sent on %d times when it was long known; %d ended", f, n, w.crashes[f]))
+	w.runUntil(start.Add(w.duration))
+	for f, n := range w.lateSends {
+		w.Check(n <= maxLateSends, qt.IsTrue, qt.Commentf("%s was sent to upstreams %d times after it should have been quarantined everywhere; %d upstreams crashed", f, n, w.crashes[f]))
 	}
-	w.Check(w.refused, qt.HasLen, 0)
+	w.Check(w.wronglyQuarantined, qt.HasLen, 0)
 	w.Check(w.answered > sent/2, qt.IsTrue, qt.Commentf("%d of %d innocent requests were answered", w.answered, sent))
 }
 
 // TestQuarantineAcrossNodes simulates a pool of twelve upstreams behind several nodes, three
-// poison requests whose callers come back each second at any node, and innocent ones, of
-// which one is sent by many callers and all others once, and once more if they fail.
+// poison requests that are sent once a second to any node, and innocent ones, of which one is
+// sent by many callers and all others once. A refused innocent request is sent once more.
 //
-// Nodes are killed, cut off from each other and the store, the store goes away, upstreams
-// end by themselves and in racks. Whatever happens, no innocent request is set aside, and
-// nodes in touch send a poison request on three times at most once it is known for 3 s.
+// Nodes are killed or cut off from each other and the store, the store becomes unreachable, and
+// upstreams end singly or four at a time. No innocent request may be quarantined, and connected
+// nodes may send a poison request at most three times from 3 s after its third crash on.
 func TestQuarantineAcrossNodes(t *testing.T) {
 	for size, seeds := range map[int]uint64{4: 8, 8: 8, 40: 2} {
 		t.Run(fmt.Sprint(size, " nodes without faults"), func(t *testing.T) {
@@ -427,7 +433,7 @@
 	}
 	t.Run("400 nodes", func(t *testing.T) {
 		w := newSimWorld(t, 7, 400)
-		w.life = 10 * time.Second
+		w.duration = 10 * time.Second
 		w.run(true)
 	})
 }
