--- a/internal/chuterelay/calltimes_test.go
+++ b/internal/chuterelay/calltimes_test.go
@@ -9,8 +9,8 @@
 	"azurechute.example/azurechute/internal/chuteroute"
 )
 
-// serve runs a request whose first event comes after the given time.
-func (n *node) serve(handle uint64, took time.Duration) {
+// runRequest runs a request whose first event comes after the given time.
+func (n *node) runRequest(handle uint64, took time.Duration) {
 	n.Helper()
 	s := streamRequest(handle, chuteroute.Resumable)
 	s.Deadline = n.now.Add(6 * time.Second)
@@ -34,7 +34,7 @@
 		}
 		before := rest()
 		for i := range uint64(20) {
-			n.serve(i+1, before/5)
+			n.runRequest(i+1, before/5)
 		}
 		n.Assert(rest() < before/2, qt.IsTrue, qt.Commentf("%v", rest()))
 		n.Assert(rest() >= before/5, qt.IsTrue, qt.Commentf("%v", rest()))
@@ -102,15 +102,15 @@
 			n.on(Ticked{})
 		}
 		refused := takeAll[Refuse](n)
-		told := false
+		sawNotRun := false
 		for _, r := range refused {
 			if r.Handle == 1 {
 				n.Assert(r.Refusal.Kind, qt.Equals, RefusedNotRun)
 				n.Assert(r.Refusal.RetryAfter > 0, qt.IsTrue)
-				told = true
+				sawNotRun = true
 			}
 		}
-		n.Assert(told, qt.IsTrue)
+		n.Assert(sawNotRun, qt.IsTrue)
 	})
 
 	t.Run("the stages of a stream that has begun may run until the deadline", func(t *testing.T) {
--- a/internal/chuterelay/evacuate_sim_test.go
+++ b/internal/chuterelay/evacuate_sim_test.go
@@ -48,7 +48,7 @@
 	}
 	s.write(evacConfigKey, true)
 	for _, peer := range s.peers {
-		s.begin(peer)
+		s.startNode(peer)
 	}
 
 	return s
@@ -63,8 +63,8 @@
 	s.store = s.store.WithChange(c)
 }
 
-// begin starts a node that knows only the upstreams and the other nodes.
-func (s *evacSim) begin(peer Peer) {
+// startNode starts a node that knows only the upstreams and the other nodes.
+func (s *evacSim) startNode(peer Peer) {
 	n := &evacNode{state: NewState(Settings{Self: peer, Seed: 1})}
 	s.nodes[peer.Name] = n
 	var list []chutefleet.Upstream
@@ -120,7 +120,7 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	for _, peer := range s.peers {
 		if random.IntN(5) == 0 {
-			s.begin(peer)
+			s.startNode(peer)
 		}
 	}
 }
--- a/internal/chuterelay/evacuate_test.go
+++ b/internal/chuterelay/evacuate_test.go
@@ -29,7 +29,7 @@
 		n.expectSentTo("z1", &handle)
 		n.on(ZonesEvacuated{})
 		n.Assert(takeOne[LogEvacuation](n), qt.Equals, LogEvacuation{Zone: "z2"})
-		n.untilFar(&handle)
+		n.sendUntilFarZone(&handle)
 	})
 
 	t.Run("the node's own zone can be evacuated too", func(t *testing.T) {
@@ -115,7 +115,7 @@
 	t.Run("a silent upstream in the zone is not probed", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
-		far := n.untilFar(&handle)
+		far := n.sendUntilFarZone(&handle)
 		n.on(ZonesEvacuated{Zones: []string{"z2"}})
 		n.endCall(far, EndUnreachable)
 		expectNo[Probe](n)
--- a/internal/chuterelay/limits_test.go
+++ b/internal/chuterelay/limits_test.go
@@ -23,37 +23,37 @@
 	n.on(Arrived{Submission: plainRequest(1, chuteroute.Repeatable)})
 	sent := takeOne[Send](n)
 	n.answerLimited(sent, Limit{Named: true, PerSecond: 2})
-	told := takeOne[AnnounceLimit](n).Limit
+	announced := takeOne[AnnounceLimit](n).Limit
 
 	t.Run("a limit named by an answer is announced", func(t *testing.T) {
 		c := qt.New(t)
-		c.Assert(told.Upstream, qt.Equals, sent.Upstream.ID)
-		c.Assert(told.Limited, qt.IsTrue)
-		c.Assert(told.PerSecond, qt.Equals, 2.0)
+		c.Assert(announced.Upstream, qt.Equals, sent.Upstream.ID)
+		c.Assert(announced.Limited, qt.IsTrue)
+		c.Assert(announced.PerSecond, qt.Equals, 2.0)
 	})
 
 	t.Run("a node that gets the announcement applies it without a call", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
-		told.Teller = "n2"
-		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{told}})
-		limit, limited := other.state.Fleet().Limit(told.Upstream)
+		announced.Teller = "n2"
+		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{announced}})
+		limit, limited := other.state.Fleet().Limit(announced.Upstream)
 		c.Assert(limited, qt.IsTrue)
 		c.Assert(limit.PerSecond, qt.Equals, 2.0)
 		c.Assert(takeAll[AnnounceLimit](other), qt.HasLen, 0)
 
-		told.Limited = false
-		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{told}})
-		_, limited = other.state.Fleet().Limit(told.Upstream)
+		announced.Limited = false
+		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{announced}})
+		_, limited = other.state.Fleet().Limit(announced.Upstream)
 		c.Assert(limited, qt.IsFalse)
 	})
 
 	t.Run("an announcement about an upstream that is not listed yet applies once it is", func(t *testing.T) {
 		c := qt.New(t)
 		other := newNode(t)
-		told := told
-		told.Upstream, told.Limited = "late", true
-		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{told}})
+		announced := announced
+		announced.Upstream, announced.Limited = "late", true
+		other.on(LimitsAnnounced{Limits: []chutefleet.LimitRecord{announced}})
 		list := append(testUpstreams(), chutefleet.Upstream{ID: "late", Name: "late", Pool: plainPool, State: chutefleet.StateReady})
 		other.on(UpstreamsListed{Upstreams: list})
 		_, limited := other.state.Fleet().Limit("late")
--- a/internal/chuterelay/loads_test.go
+++ b/internal/chuterelay/loads_test.go
@@ -47,12 +47,12 @@
 			n.on(Arrived{Submission: n.requestFrom("w", 1)})
 			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}})
 			holder := takeOne[Send](n).Upstream.ID
-			var told []chutefleet.LoadReport
+			var reports []chutefleet.LoadReport
 			if crowded {
-				told = []chutefleet.LoadReport{{Upstream: holder, Calls: 30, Age: 50 * time.Millisecond}}
+				reports = []chutefleet.LoadReport{{Upstream: holder, Calls: 30, Age: 50 * time.Millisecond}}
 			}
 			n.on(Arrived{Submission: n.requestFrom("w", 2)})
-			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}, Loads: told})
+			n.on(JobDone{JobRequestID: takeOne[RequestJob](n).JobRequestID, Results: []chutebatch.Result{{Ref: "x", Zone: "z1"}}, Loads: reports})
 			n.Assert(takeOne[Send](n).Upstream.ID == holder, qt.Equals, !crowded)
 		}
 	})
--- a/internal/chuterelay/quarantine_test.go
+++ b/internal/chuterelay/quarantine_test.go
@@ -251,7 +251,7 @@
 		n.reportCallCrash(shared)
 		n.Assert(takeOne[AnnounceCrash](n).Crash.Suspects, qt.HasLen, 3)
 		n.relistRestarted(1)
-		ended := n.runAlone("p")
+		ended := n.runCallsWithPoison("p")
 		n.Assert(ended, qt.Equals, 1)
 		n.Assert(takeAll[ReturnResults](n), qt.HasLen, 2)
 		n.Assert(takeOne[RejectJob](n).Reason, qt.Equals, string(chutebatch.PartUpstreamsEnded))
@@ -311,10 +311,10 @@
 	return takeOne[RunCall](n)
 }
 
-// runAlone answers calls until none is left, except that calls with parts of the poison request
+// runCallsWithPoison answers calls until none is left, except that calls with parts of the poison request
 // end their upstream. It returns the number of these, and fails if a call has parts of several
 // requests.
-func (n *node) runAlone(poison string) int {
+func (n *node) runCallsWithPoison(poison string) int {
 	n.Helper()
 	ended := 0
 	for calls := takeAll[RunCall](n); len(calls) > 0; calls = takeAll[RunCall](n) {
--- a/internal/chuterelay/warmup_test.go
+++ b/internal/chuterelay/warmup_test.go
@@ -125,11 +125,11 @@
 
 // arrive sends a new caller's request to a random node.
 func (s *coldSim) arrive(affinity string) {
-	s.ask(waitingCaller{id: fmt.Sprint("c", s.handles), affinity: affinity})
+	s.sendRequest(waitingCaller{id: fmt.Sprint("c", s.handles), affinity: affinity})
 }
 
-// ask sends a caller's request to a random node.
-func (s *coldSim) ask(caller waitingCaller) {
+// sendRequest sends a caller's request to a random node.
+func (s *coldSim) sendRequest(caller waitingCaller) {
 	s.handles++
 	s.callers[s.handles] = caller
 	s.tries[caller.id]++
@@ -143,8 +143,8 @@
 	}})
 }
 
-// pass advances the clock with perSecond requests a second, each with the affinity that draw returns.
-func (s *coldSim) pass(d time.Duration, perSecond float64, draw func() string) {
+// runLoad advances the clock with perSecond requests a second, each with the affinity that draw returns.
+func (s *coldSim) runLoad(d time.Duration, perSecond float64, draw func() string) {
 	const step = 5 * time.Millisecond
 	due := 0.0
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(step) {
@@ -156,7 +156,7 @@
 		for len(s.backs) > 0 && !s.backs[0].at.After(s.now) {
 			caller := s.backs[0]
 			s.backs = s.backs[1:]
-			s.ask(caller)
+			s.sendRequest(caller)
 		}
 		for due += perSecond * step.Seconds(); due >= 1; due-- {
 			s.arrive(draw())
@@ -195,25 +195,25 @@
 var coldLoads = []coldLoad{
 	{name: "one engine restarts in a busy pool", engines: 20, cold: 1, run: func(s *coldSim) {
 		none := func() string { return "" }
-		s.pass(time.Second, 600, none)
+		s.runLoad(time.Second, 600, none)
 		s.list(20, 1)
-		s.pass(coldTime, 600, none)
+		s.runLoad(coldTime, 600, none)
 	}},
 	{name: "one engine restarts in a small pool", engines: 3, cold: 1, run: func(s *coldSim) {
 		s.list(3, 1)
-		s.pass(coldTime, 90, anyPrefix(s.rand))
+		s.runLoad(coldTime, 90, anyPrefix(s.rand))
 	}},
 	{name: "the holder of a prompt that all callers send is cold", engines: 20, cold: 20, run: func(s *coldSim) {
 		s.list(20, 20)
-		s.pass(coldTime, 60, func() string { return "hot" })
+		s.runLoad(coldTime, 60, func() string { return "hot" })
 	}},
 	{name: "all callers retry at once when a zone has returned", engines: 30, cold: 10, run: func(s *coldSim) {
-		s.pass(time.Second, 300, anyPrefix(s.rand))
+		s.runLoad(time.Second, 300, anyPrefix(s.rand))
 		s.list(30, 10)
 		for range 600 {
 			s.arrive("")
 		}
-		s.pass(coldTime, 300, anyPrefix(s.rand))
+		s.runLoad(coldTime, 300, anyPrefix(s.rand))
 	}},
 }
 
@@ -248,11 +248,11 @@
 		// and its callers are served by the next node or by the one after it.
 		s := newColdSim(65, 20, coldConfig(coldPace))
 		s.list(20, 20)
-		s.pass(2*time.Second, 100, anyPrefix(s.rand))
+		s.runLoad(2*time.Second, 100, anyPrefix(s.rand))
 		for id, tries := range s.tries {
 			qt.Check(t, tries <= 3, qt.IsTrue, qt.Commentf("%s has asked %d nodes", id, tries))
 		}
-		s.pass(time.Second, 0, nil)
+		s.runLoad(time.Second, 0, nil)
 		qt.Assert(t, s.tries, qt.HasLen, 0)
 	})
 
@@ -265,7 +265,7 @@
 		}
 		order := s.rand.Perm(62)
 		for len(order) > 0 {
-			s.pass(coldTime/62, 200, func() string { return "hot" })
+			s.runLoad(coldTime/62, 200, func() string { return "hot" })
 			s.on(order[0], PeersListed{Peers: peers})
 			order = order[1:]
 		}
@@ -278,7 +278,7 @@
 			s.on(i, ZonesEvacuated{Zones: []string{"z1"}})
 			s.on(i, ZonesEvacuated{})
 		}
-		s.pass(coldTime, 100, func() string { return "hot" })
+		s.runLoad(coldTime, 100, func() string { return "hot" })
 		for _, id := range slices.Collect(maps.Keys(s.sent)) {
 			s.sent[id+"-again"] = s.sent[id]
 		}
--- a/internal/chuterelay/zones_test.go
+++ b/internal/chuterelay/zones_test.go
@@ -31,9 +31,9 @@
 	return n
 }
 
-// untilFar sends plain requests until one is sent to the other zone; the earlier ones keep the
+// sendUntilFarZone sends plain requests until one is sent to the other zone; the earlier ones keep the
 // upstreams of the node's own zone busy.
-func (n *node) untilFar(handle *uint64) Send {
+func (n *node) sendUntilFarZone(handle *uint64) Send {
 	n.Helper()
 	for range 200 {
 		*handle++
@@ -54,7 +54,7 @@
 		// try these upstreams one by one.
 		n := withFarZone(t)
 		handle := uint64(0)
-		n.loseFar(&handle)
+		n.silenceFarZone(&handle)
 		for range 30 {
 			handle++
 			n.Assert(n.submit(plainRequest(handle, chuteroute.Repeatable)).Upstream.Zone, qt.Equals, "z1")
@@ -64,7 +64,7 @@
 	t.Run("a successful probe ends the cut-off", func(t *testing.T) {
 		n := withFarZone(t)
 		handle := uint64(0)
-		lost := n.loseFar(&handle)
+		lost := n.silenceFarZone(&handle)
 		for range 10 {
 			n.pass(probeInterval)
 			for _, id := range lost {
@@ -81,7 +81,7 @@
 		n := withFarZone(t)
 		handle := uint64(0)
 		for range 2 {
-			s := n.untilFar(&handle)
+			s := n.sendUntilFarZone(&handle)
 			n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable})
 			takeAll[Send](n)
 		}
@@ -104,7 +104,7 @@
 		}
 		n.on(PeersListed{Peers: append(all, self)})
 		handle := uint64(100)
-		n.loseFar(&handle)
+		n.silenceFarZone(&handle)
 		n.on(Arrived{Submission: streamRequest(1, chuteroute.Resumable)})
 		expectNo[RequestJob](n)
 		n.Assert(takeOne[RunCall](n).Upstream.Zone, qt.Equals, "z1")
@@ -120,19 +120,19 @@
 	})
 }
 
-// loseFar makes two upstreams of the other zone silent and returns their ids.
-func (n *node) loseFar(handle *uint64) []string {
+// silenceFarZone makes two upstreams of the other zone silent and returns their ids.
+func (n *node) silenceFarZone(handle *uint64) []string {
 	n.Helper()
 	var lost []string
 	for range minSilentEndpoints {
-		s := n.untilFar(handle)
+		s := n.sendUntilFarZone(handle)
 		n.on(AttemptEnded{Handle: s.Handle, Attempt: s.Attempt, End: EndUnreachable, Silent: true})
 		takeAll[Send](n)
 		lost = append(lost, s.Upstream.ID)
 	}
-	told := takeOne[LogZone](n)
-	n.Assert(told.CutOff, qt.IsTrue)
-	n.Assert(told.Silent, qt.HasLen, minSilentEndpoints)
+	logged := takeOne[LogZone](n)
+	n.Assert(logged.CutOff, qt.IsTrue)
+	n.Assert(logged.Silent, qt.HasLen, minSilentEndpoints)
 	n.effects = nil
 	n.pass(time.Millisecond)
 
